--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -1,4 +1,4 @@
-"""Attempts of one hollow ingress: backends are played by timers, with the scenario's latency."""
+"""The attempts of one hollow ingress: timers stand in for the backends, with the scenario's latency."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 class SimulatedAttempts:
-    """Sends attempts to backends that are timers, and feeds their ends to the decision module."""
+    """Simulates the attempts that the decision module sends, and feeds their outcomes to it."""
 
     def __init__(
         self,
@@ -35,35 +35,42 @@
         self._loop = asyncio.get_running_loop()
 
     def send(self, action: api.SendAttempt) -> None:
-        """Starts an attempt; an earlier one of the request that is in flight is cancelled."""
+        """Start an attempt, and cancel the attempt of the same request that is in flight.
+
+        It is not sent, and is reported so, if the request is not open or has used up its attempts.
+        """
         request = self._requests.get(action.id)
-        if request is None or request.attempts >= self._max_attempts:
-            self._feed_superseded(action, request)
+        if request is None or request.attempt_count >= self._max_attempts:
+            self._feed_not_sent(action, request)
             return
-        self._requests.decide(request)
-        if request.attempt is not None:
-            self._cancel(action.id, request)
-        attempt = Attempt(request.attempts, action.backend, time.monotonic(), action.timeout)
-        request.attempt = attempt
-        request.attempts += 1
+        self._requests.record_decision(request)
+        if request.current_attempt is not None:
+            self._cancel_current(action.id, request)
+        attempt = Attempt(request.attempt_count, action.backend, time.monotonic(), action.timeout)
+        request.current_attempt = attempt
+        request.attempt_count += 1
         self._world.counts["sends"] += 1
-        self._play_backend(action.id, request, attempt)
+        self._start_timer(action.id, request, attempt)
 
     def cancel(self, key: str, number: int) -> None:
-        """Cancels an attempt if it is in flight."""
+        """Cancel an attempt if it is in flight."""
         request = self._requests.get(key)
-        if request is not None and request.attempt is not None and request.attempt.number == number:
-            self._cancel(key, request)
+        if (
+            request is not None
+            and request.current_attempt is not None
+            and request.current_attempt.number == number
+        ):
+            self._cancel_current(key, request)
 
-    def _feed_superseded(self, action: api.SendAttempt, request: OpenRequest | None) -> None:
-        number = 0 if request is None else request.attempts
+    def _feed_not_sent(self, action: api.SendAttempt, request: OpenRequest | None) -> None:
+        number = 0 if request is None else request.attempt_count
         is_finished = request is None
         self._feed(
             api.AttemptEnded(action.id, number, action.backend, api.Outcome.SUPERSEDED, finished=is_finished)
         )
 
-    def _play_backend(self, key: str, request: OpenRequest, attempt: Attempt) -> None:
-        """Sets the timer at which the attempt ends."""
+    def _start_timer(self, key: str, request: OpenRequest, attempt: Attempt) -> None:
+        """Draw the latency of an attempt, and start the timer that ends it."""
         if self._world.unreachable(attempt.backend):
             self._end_after(0.0, key, attempt, api.Outcome.CONNECT_FAILED)
             return
@@ -79,32 +86,34 @@
         attempt.timer = self._loop.call_later(delay, self._end, key, attempt, outcome)
 
     def _answer(self, key: str, attempt: Attempt) -> None:
-        """The backend's answer is due; one that has fallen silent meanwhile gives none."""
+        """End an attempt when its answer is due; it times out if its backend has become silent meanwhile."""
         if self._world.silent(attempt.backend):
-            time_left = attempt.sent_at + attempt.timeout - time.monotonic()
-            self._end_after(max(0.0, time_left), key, attempt, api.Outcome.TIMEOUT)
+            remaining_s = attempt.sent_at + attempt.timeout - time.monotonic()
+            self._end_after(max(0.0, remaining_s), key, attempt, api.Outcome.TIMEOUT)
         else:
             self._end(key, attempt, api.Outcome.OK)
 
     def _end(self, key: str, attempt: Attempt, outcome: api.Outcome) -> None:
         request = self._requests.get(key)
-        if request is None or request.attempt is not attempt:
+        if request is None or request.current_attempt is not attempt:
             return
-        request.attempt = None
-        self._feed_end(key, attempt, outcome)
+        request.current_attempt = None
+        self._feed_outcome(key, attempt, outcome)
 
-    def _cancel(self, key: str, request: OpenRequest) -> None:
-        attempt = request.attempt
-        request.attempt = None
+    def _cancel_current(self, key: str, request: OpenRequest) -> None:
+        attempt = request.current_attempt
+        request.current_attempt = None
         if attempt is None:
             return
         attempt.cancel_timer()
-        self._feed_end(key, attempt, api.Outcome.CANCELLED)
+        self._feed_outcome(key, attempt, api.Outcome.CANCELLED)
 
-    def _feed_end(self, key: str, attempt: Attempt, outcome: api.Outcome) -> None:
+    def _feed_outcome(self, key: str, attempt: Attempt, outcome: api.Outcome) -> None:
         latency = time.monotonic() - attempt.sent_at
-        served = outcome is api.Outcome.OK
-        load = {"inflight": 1.0} if served else {}
+        is_served = outcome is api.Outcome.OK
+        load_report = {"inflight": 1.0} if is_served else {}
         self._feed(
-            api.AttemptEnded(key, attempt.number, attempt.backend, outcome, latency, served, load_report=load)
+            api.AttemptEnded(
+                key, attempt.number, attempt.backend, outcome, latency, is_served, load_report=load_report
+            )
         )
--- a/scale/hollow/control.py
+++ b/scale/hollow/control.py
@@ -1,4 +1,4 @@
-"""The control traffic of one hollow ingress: its watch on discovery and its calls to the counter."""
+"""The control traffic of one hollow ingress: its watch on the discovery agent and its counter calls."""
 
 from __future__ import annotations
 
@@ -16,11 +16,11 @@
 from scale.experiment.messages import Incarnation
 from scale.hollow.setup import HollowSetup
 
-CANCEL_LIMIT_S = 0.5  # in which a cancelled watch ends
+CANCEL_TIMEOUT_S = 0.5  # after which the cancellation of the watch is repeated
 
 
 class ControlTraffic:
-    """Real connections over loopback to the agent and to the counter; what they bring is fed as events."""
+    """Keeps the loopback connections to the agent and the counter, and feeds what they deliver as events."""
 
     def __init__(
         self,
@@ -36,45 +36,48 @@
         self._rng = rng
         self._feed = feed
         self._counter = CounterClient(
-            setup.counter, setup.settings.counter_timeout, clock, self._counter_replied
+            setup.counter_address, setup.settings.counter_timeout, clock, self._handle_counter_reply
         )
-        self._watch: asyncio.Task[None] | None = None
+        self._watch_task: asyncio.Task[None] | None = None
 
     def start_watch(self) -> None:
-        """Begins to watch discovery from the version of the known list on."""
-        discovery = EndpointWatch(
-            self._setup.agent,
-            self._list_changed,
+        """Start to watch the agent for changes after the version of the known list."""
+        watch = EndpointWatch(
+            self._setup.agent_address,
+            self._apply_update,
             self._rng,
-            self._setup.known.version,
+            self._setup.known_list.version,
             watch_timing(is_pushed=not self._setup.settings.poll_discovery),
         )
-        self._watch = asyncio.get_running_loop().create_task(discovery.run())
+        self._watch_task = asyncio.get_running_loop().create_task(watch.run())
 
     def increment_counter(self, action: api.IncrementCounter) -> None:
-        """Makes a call to the counter."""
+        """Send a call to the counter."""
         self._world.counts["counter_calls"] += 1
         self._counter.increment(action.name, action.add, action.lifetime)
 
     async def stop(self) -> None:
-        """Closes the connections and ends the watch."""
+        """Close the connections and end the watch."""
         self._counter.close()
-        if self._watch is not None:
-            await self._end_watch(self._watch)
+        if self._watch_task is not None:
+            await self._cancel_watch(self._watch_task)
 
-    async def _end_watch(self, watch: asyncio.Task[None]) -> None:
-        """A cancellation at the moment of a time-out of the HTTP client may be lost: it is repeated."""
-        watch.cancel()
-        while not (await asyncio.wait([watch], timeout=CANCEL_LIMIT_S))[0]:
+    async def _cancel_watch(self, watch_task: asyncio.Task[None]) -> None:
+        """Cancel the watch until it ends.
+
+        A cancellation may be lost if it coincides with a timeout in the HTTP client, so it is repeated.
+        """
+        watch_task.cancel()
+        while not (await asyncio.wait([watch_task], timeout=CANCEL_TIMEOUT_S))[0]:
             self._world.counts["watch_cancels_repeated"] += 1
-            watch.cancel()
+            watch_task.cancel()
 
-    def _counter_replied(self, reply: api.CounterReply) -> None:
+    def _handle_counter_reply(self, reply: api.CounterReply) -> None:
         self._world.counts["counter_unanswered"] += reply.outcome is not api.Outcome.OK
         self._feed(reply)
 
-    def _list_changed(self, kind: api.EndpointUpdateKind, listing: EndpointList) -> None:
-        """A change counts as acted on once the module has been given it."""
-        self._world.learn(listing.backends)
-        self._feed(api.EndpointUpdate(kind, tuple(listing.backends), listing.version))
-        self._incarnation.acted.append((listing.version, time.monotonic()))
+    def _apply_update(self, kind: api.EndpointUpdateKind, update: EndpointList) -> None:
+        """Feed an update of the endpoint list, then record that it was acted on."""
+        self._world.learn(update.backends)
+        self._feed(api.EndpointUpdate(kind, tuple(update.backends), update.version))
+        self._incarnation.acted.append((update.version, time.monotonic()))
--- a/scale/hollow/ingress.py
+++ b/scale/hollow/ingress.py
@@ -1,7 +1,7 @@
 """Hollow ingresses: the decision module with its control traffic, but without client or backend sockets.
 
-Requests come from a seeded generator, answers of backends after the scenario's latency.  The watch on the
-agent and the calls to the counter are real, over loopback.
+Requests come from a seeded generator, and the answers of backends come after the scenario's latency.  The
+watch on the discovery agent and the calls to the counter use real loopback connections.
 """
 
 from __future__ import annotations
@@ -21,9 +21,11 @@
 from scale.hollow.requests import RequestTable
 from scale.hollow.setup import HollowSetup
 from scale.standins.arrivals import Arrivals
-from scale.standins.traffic import RequestDraw
+from scale.standins.traffic import DrawnRequest
 
-DUPLICATE_WINDOW_S = 2.0  # beyond its deadline in which a second answer to a request is still noticed
+DUPLICATE_WINDOW_S = (
+    2.0  # time after the deadline of a request in which a second final answer is still detected
+)
 
 
 class HollowIngress:
@@ -35,7 +37,7 @@
         scenario = setup.world.scenario
         self.incarnation = Incarnation(number=setup.number, started=time.monotonic())
         self.requests = RequestTable(setup.world)
-        self._known = setup.known
+        self._known_list = setup.known_list
         self._loop = asyncio.get_running_loop()
         self._arrivals = Arrivals(
             scenario, setup.number, scenario.sizes.requests_per_s, rng, self._accept_request
@@ -49,38 +51,38 @@
         )
 
     def start(self) -> None:
-        """Hands the known list to the module and begins to watch discovery."""
-        self._module.feed(self._known)
+        """Give the known list to the decision module and start to watch the agent."""
+        self._module.feed(self._known_list)
         self._control.start_watch()
 
     def load(self) -> None:
-        """Requests begin to arrive."""
+        """Let requests arrive from now on."""
         self._arrivals.start()
 
     def stop_load(self) -> None:
-        """No further request arrives."""
+        """Let no further request arrive."""
         self._arrivals.stop()
 
     async def stop(self) -> None:
-        """Ends: what is open is cut off, as by a crash."""
+        """End the incarnation; as in a crash, the open requests are cut off without an answer."""
         self._module.stop()
         self.incarnation.ended = time.monotonic()
         self.stop_load()
         self.requests.close("cut")
         await self._control.stop()
 
-    def _accept_request(self, draw: RequestDraw) -> None:
+    def _accept_request(self, draw: DrawnRequest) -> None:
         key = self.requests.add(draw.units)
-        deadline = draw.request_class.deadline_s
-        self._loop.call_later(deadline, self._enforce_deadline, key)
-        self._module.feed(_request(key, draw, decision_time(deadline)))
+        deadline_s = draw.request_class.deadline_s
+        self._loop.call_later(deadline_s, self._enforce_deadline, key)
+        self._module.feed(_create_request(key, draw, decision_time(deadline_s)))
 
     def _enforce_deadline(self, key: str) -> None:
-        """The ingress answers what the module has left open, as a real one does."""
+        """Answer a request that the decision module has left open, as a real ingress does at the deadline."""
         if self.requests.get(key) is not None:
             self.requests.finish(key, "forced")
             self._module.feed(api.RequestCancelled(key))
-        self._loop.call_later(DUPLICATE_WINDOW_S, self.requests.forget_answer, key)
+        self._loop.call_later(DUPLICATE_WINDOW_S, self.requests.forget_answered, key)
 
     def _execute(self, action: api.Action) -> None:
         match action:
@@ -98,15 +100,15 @@
                 self._attempts.cancel(key, number)
 
 
-def _request(key: str, draw: RequestDraw, remaining_time: float) -> api.Request:
+def _create_request(key: str, draw: DrawnRequest, remaining_time_s: float) -> api.Request:
     return api.Request(
         key,
         draw.request_class.name,
         draw.plan.name,
-        draw.customer,
-        remaining_time,
+        draw.tenant_key,
+        remaining_time_s,
         float(draw.units),
         draw.plan.spread,
-        draw.first,
+        draw.first_ingress,
         is_write=draw.request_class.semantics != "safe",
     )
--- a/scale/hollow/module.py
+++ b/scale/hollow/module.py
@@ -1,4 +1,4 @@
-"""The decision module of one hollow ingress: its events, one at a time, and the CPU time that they cost."""
+"""The decision module of one hollow ingress: hands it one event at a time and measures their CPU time."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 
 class MeteredModule:
-    """Hands events to a decision module, charges their CPU time, and passes its actions on."""
+    """Hands events to a decision module, records their CPU time, and passes its actions to `execute`."""
 
     def __init__(
         self,
@@ -33,11 +33,11 @@
         self._events = EventQueue(self._handle)
 
     def feed(self, event: api.Event) -> None:
-        """Handles an event, or leaves it to the call that is handling another; none once it is stopped."""
+        """Handle an event now, or after the one that is being handled; ignore it once stopped."""
         self._events.feed(event)
 
     def stop(self) -> None:
-        """From now on events are ignored."""
+        """Ignore all events from now on."""
         self._is_stopped = True
 
     def _handle(self, event: api.Event) -> None:
@@ -45,16 +45,16 @@
             return
         key = getattr(event, "id", "")
         request = self._requests.get(key)
-        before = time.thread_time()
+        started_at = time.thread_time()
         actions = list(self._gateway.handle(self._clock(), event))
-        cpu_s = time.thread_time() - before
+        cpu_s = time.thread_time() - started_at
         if isinstance(event, api.EndpointUpdate) and event.kind is api.EndpointUpdateKind.UPDATE:
             self._world.change_cpu.record(cpu_s)
         if request is not None:
             request.cpu_s += cpu_s
-        self._requests.arriving = request if isinstance(event, api.Request) else None
+        self._requests.arriving_request = request if isinstance(event, api.Request) else None
         if isinstance(event, api.AttemptEnded) and event.finished and request is not None:
             self._requests.finish(key, "served")
         for action in actions:
             self._execute(action)
-        self._requests.arriving = None
+        self._requests.arriving_request = None
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -1,4 +1,4 @@
-"""The open requests of one hollow ingress: each is to end with exactly one final answer."""
+"""The open requests of one hollow ingress; each must get exactly one final answer."""
 
 from __future__ import annotations
 
@@ -11,16 +11,21 @@
 
 @dataclass(slots=True)
 class Attempt:
-    """An attempt that is in flight."""
+    """An attempt in flight."""
 
     number: int
+    """Its place among the attempts of the request, from 0."""
     backend: str
-    sent_at: float  # monotonic clock
-    timeout: float  # s
-    timer: asyncio.TimerHandle | None = None  # ends the attempt
+    """The id of the backend."""
+    sent_at: float
+    """When it was sent, on the monotonic clock."""
+    timeout: float
+    """How long it may take, in seconds."""
+    timer: asyncio.TimerHandle | None = None
+    """Ends the attempt."""
 
     def cancel_timer(self) -> None:
-        """The attempt will not end by itself."""
+        """Cancel the timer that ends the attempt."""
         if self.timer is not None:
             self.timer.cancel()
 
@@ -29,80 +34,89 @@
 class OpenRequest:
     """A request without a final answer."""
 
-    arrived_at: float  # monotonic clock
+    arrived_at: float
+    """When it arrived, on the monotonic clock."""
     units: float
-    attempt: Attempt | None = None  # the one in flight
-    attempts: int = 0  # sent so far
-    cpu_s: float = 0.0  # that the decision module has used for it
-    is_decided: bool = False  # its first attempt was sent or its final answer given
+    current_attempt: Attempt | None = None
+    """The attempt in flight."""
+    attempt_count: int = 0
+    """Attempts sent so far."""
+    cpu_s: float = 0.0
+    """CPU time that the decision module has used for it, in seconds."""
+    is_decided: bool = False
+    """Whether its first attempt was sent or its final answer was given."""
 
 
 class RequestTable:
-    """The open requests, and those that were answered shortly ago."""
+    """The open requests and the recently answered ones, for which second final answers are detected."""
 
     def __init__(self, world: World) -> None:
-        self.arriving: OpenRequest | None = None  # the one whose arrival the module is handling
+        self.arriving_request: OpenRequest | None = None  # its arrival is being handled by the module
         self._world = world
-        self._count = 0  # requests so far
-        self._open: dict[str, OpenRequest] = {}  # by key
-        self._answered: set[str] = set()  # requests with a final answer, while a second one is noticed
+        self._request_count = 0  # all requests so far
+        self._open_requests: dict[str, OpenRequest] = {}  # by key
+        self._answered_keys: set[str] = set()  # requests for which a second final answer is detected
         self._drained = asyncio.Event()
         self._drained.set()
 
     def add(self, units: float) -> str:
-        """Takes in a request that has just arrived; its key."""
-        self._count += 1
-        key = str(self._count)
-        self._open[key] = OpenRequest(time.monotonic(), units)
+        """Add a request that has just arrived, and return its key."""
+        self._request_count += 1
+        key = str(self._request_count)
+        self._open_requests[key] = OpenRequest(time.monotonic(), units)
         self._drained.clear()
         self._world.counts["requests"] += 1
         return key
 
     def get(self, key: str) -> OpenRequest | None:
-        """The open request of that key, or None."""
-        return self._open.get(key)
+        """Return the open request with a key, or None."""
+        return self._open_requests.get(key)
 
-    def decide(self, request: OpenRequest) -> None:
-        """The first attempt or final answer.  One that does not come at once has waited for the counter."""
+    def record_decision(self, request: OpenRequest) -> None:
+        """Record that the first attempt or the final answer of a request has come.
+
+        If the decision module did not decide while it handled the arrival, the request has waited for the
+        counter.
+        """
         if request.is_decided:
             return
         request.is_decided = True
-        if request is not self.arriving:
+        if request is not self.arriving_request:
             self._world.counts["waited"] += 1
             self._world.counter_wait.record(time.monotonic() - request.arrived_at)
 
     def finish(self, key: str, outcome: str) -> None:
-        """The final answer to a request; a second one is counted as a duplicate."""
-        request = self._open.pop(key, None)
+        """Count the final answer to a request under an outcome; a second one is counted as a duplicate."""
+        request = self._open_requests.pop(key, None)
         if request is None:
-            if key in self._answered:
+            if key in self._answered_keys:
                 self._world.counts["duplicated"] += 1
             return
-        self.decide(request)
-        self._answered.add(key)
+        self.record_decision(request)
+        self._answered_keys.add(key)
         self._world.counts[outcome] += 1
         self._world.request_cpu.record(request.cpu_s)
-        if request.attempt is not None:
-            request.attempt.cancel_timer()
-        self._note_drained()
+        if request.current_attempt is not None:
+            request.current_attempt.cancel_timer()
+        self._signal_if_drained()
 
-    def forget_answer(self, key: str) -> None:
-        """A second answer to the request is no longer noticed."""
-        self._answered.discard(key)
+    def forget_answered(self, key: str) -> None:
+        """Stop detecting second final answers to a request."""
+        self._answered_keys.discard(key)
 
     def close(self, outcome: str) -> None:
-        """Ends all open requests without an answer and counts them under an outcome."""
-        self._world.counts[outcome] += len(self._open)
-        for request in self._open.values():
-            if request.attempt is not None:
-                request.attempt.cancel_timer()
-        self._open.clear()
-        self._note_drained()
+        """End all open requests without an answer, and count them under an outcome."""
+        self._world.counts[outcome] += len(self._open_requests)
+        for request in self._open_requests.values():
+            if request.current_attempt is not None:
+                request.current_attempt.cancel_timer()
+        self._open_requests.clear()
+        self._signal_if_drained()
 
     async def drained(self) -> None:
-        """Returns once no request is open."""
+        """Wait until no request is open."""
         await self._drained.wait()
 
-    def _note_drained(self) -> None:
-        if not self._open:
+    def _signal_if_drained(self) -> None:
+        if not self._open_requests:
             self._drained.set()
--- a/scale/hollow/setup.py
+++ b/scale/hollow/setup.py
@@ -1,4 +1,4 @@
-"""What one incarnation of a hollow ingress is started with."""
+"""The parameters with which one incarnation of a hollow ingress is started."""
 
 from __future__ import annotations
 
@@ -8,24 +8,31 @@
 from scale.addresses import Address
 from scale.experiment.world import World
 
-SEED_STEP = 104_729  # between the seeds of two ingresses
-INCARNATION_SEED_STEP = 15_485_863  # between the seeds of two incarnations of one ingress
+SEED_STEP = 104_729  # difference between the seeds of two ingresses with consecutive numbers
+INCARNATION_SEED_STEP = (
+    15_485_863  # difference between the seeds of two consecutive incarnations of one ingress
+)
 
 
 @dataclass(frozen=True, slots=True)
 class HollowSetup:
-    """One incarnation: who it is, what it shares with others, and where its control traffic goes."""
-
-    world: World  # shared by all hollow ingresses of the process
-    number: int  # of the ingress
-    incarnation: int  # incarnations of this ingress before it
-    agent: Address  # of discovery
-    counter: Address
+    """The parameters of one incarnation of a hollow ingress."""
+
+    world: World
+    """What all hollow ingresses of the process share."""
+    number: int
+    """The number of the ingress."""
+    earlier_incarnations: int
+    """How many incarnations of this ingress came before this one."""
+    agent_address: Address
+    """The address of the discovery agent."""
+    counter_address: Address
     settings: api.Settings
-    known: api.EndpointUpdate  # the endpoint list that it starts with
+    known_list: api.EndpointUpdate
+    """The endpoint list that it starts with."""
 
     @property
     def seed(self) -> int:
-        """The seed of all its random draws."""
+        """The seed of all random draws of the incarnation."""
         seed = self.world.scenario.seed
-        return seed + SEED_STEP * self.number + INCARNATION_SEED_STEP * self.incarnation
+        return seed + SEED_STEP * self.number + INCARNATION_SEED_STEP * self.earlier_incarnations
--- a/scale/standins/__init__.py
+++ b/scale/standins/__init__.py
@@ -1,1 +1,1 @@
-"""Stand-ins for the peers of an ingress: discovery agent, counter, backends and clients."""
+"""Stand-ins for the peers of an ingress: the discovery agent, the counter, the backends and the clients."""
--- a/scale/standins/agent.py
+++ b/scale/standins/agent.py
@@ -1,4 +1,4 @@
-"""The discovery agent: serves a registry of backends over HTTP/1.1 long polls."""
+"""The stand-in of the discovery agent: serves a registry of backends over HTTP/1.1 long polls."""
 
 from __future__ import annotations
 
@@ -12,30 +12,35 @@
 from scale.addresses import Address
 from scale.standins.registry import Entry, Published, Registry
 
-MAX_HEAD_BYTES = 8192  # of a request
-MAX_WATCH_WAIT_S = 60.0  # of a watch
+MAX_HEAD_BYTES = 8192  # longest head of a request
+MAX_WATCH_WAIT_S = 60.0  # longest time for which a long poll is held open
 
 
 class AgentMode(Enum):
-    """How the agent treats calls."""
+    """How the agent answers calls."""
 
     UP = "up"
+    """Answer each call."""
     SILENT = "silent"
+    """Accept calls, but answer none."""
     REFUSING = "refusing"
+    """Answer each call with status 503."""
 
 
 @dataclass(slots=True)
 class AgentCounts:
-    """What one listener of the agent has seen."""
+    """What one listener of the agent has counted."""
 
     calls: int = 0
-    whole_lists: int = 0  # answers that held the whole list
-    refused: int = 0  # calls that were answered 503
+    whole_lists: int = 0
+    """Answers that held the complete list of backends."""
+    refused: int = 0
+    """Calls that were answered with status 503."""
     bytes_in: int = 0
     bytes_out: int = 0
 
 
-def _response(status: bytes, body: bytes) -> bytes:
+def _encode_response(status: bytes, body: bytes) -> bytes:
     return b"HTTP/1.1 %b\r\nContent-Type: application/json\r\nContent-Length: %d\r\n\r\n%b" % (
         status,
         len(body),
@@ -44,46 +49,47 @@
 
 
 class AgentConnection(asyncio.Protocol):
-    """One connection: calls come one after another, each is answered before the next is read."""
+    """One connection of an ingress; each call is answered before the next one is read."""
 
     def __init__(self, agent: Agent, group: str) -> None:
         self.agent = agent
         self.group = group
         self.transport: asyncio.Transport | None = None
         self.buffer = b""
-        self.after: int | None = None  # the version that the waiting call has
-        self.waiting = False  # a call waits for its answer
-        self.timer: asyncio.TimerHandle | None = None
+        # The list version that the ingress of the pending call holds; None: it asked for the complete list.
+        self.held_version: int | None = None
+        self.is_call_pending = False  # a call has not been answered yet
+        self.wait_timer: asyncio.TimerHandle | None = None  # answers a long poll at the end of its wait
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes in the new connection."""
+        """Register the new connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.agent.connections.add(self)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forgets the connection."""
-        self._stop_waiting()
+        """Remove the connection and drop its pending call."""
+        self._clear_pending_call()
         self.transport = None
         self.agent.connections.discard(self)
 
     def data_received(self, data: bytes) -> None:
-        """Reads what the peer has sent."""
+        """Buffer the received bytes and handle the next call, unless one is pending."""
         self.agent.counts[self.group].bytes_in += len(data)
         self.buffer += data
-        if not self.waiting:
-            self._read()
+        if not self.is_call_pending:
+            self._handle_buffered_calls()
 
-    def _read(self) -> None:
-        while not self.waiting and self.transport is not None:
+    def _handle_buffered_calls(self) -> None:
+        while not self.is_call_pending and self.transport is not None:
             head, found, rest = self.buffer.partition(b"\r\n\r\n")
             if not found:
                 if len(head) > MAX_HEAD_BYTES:
                     self.transport.close()
                 return
             self.buffer = rest
-            self._call(head)
+            self._handle_call(head)
 
-    def _call(self, head: bytes) -> None:
+    def _handle_call(self, head: bytes) -> None:
         try:
             method, target, _ = head.split(b"\r\n", 1)[0].decode("ascii").split(" ")
             parts = urlsplit(target)
@@ -91,57 +97,63 @@
         except ValueError:
             method, query, parts = "", {}, urlsplit("")
         if method != "GET" or parts.path != "/api/targets":
-            self._write(_response(b"400 Bad Request", b""))
+            self._write(_encode_response(b"400 Bad Request", b""))
             if self.transport is not None:
                 self.transport.close()
             return
-        self._answer_call(query.get("after"), min(max(query.get("wait_ms", 0) / 1000, 0.0), MAX_WATCH_WAIT_S))
+        self._answer_or_hold(
+            query.get("after"), min(max(query.get("wait_ms", 0) / 1000, 0.0), MAX_WATCH_WAIT_S)
+        )
 
-    def _answer_call(self, after: int | None, wait: float) -> None:
+    def _answer_or_hold(self, held_version: int | None, wait_s: float) -> None:
+        """Answer a valid call at once, or hold it until the list changes or its wait ends."""
         counts = self.agent.counts[self.group]
         counts.calls += 1
-        if after is not None:
-            self.agent.note_watch(self.group, after)
+        if held_version is not None:
+            self.agent.record_acted_version(self.group, held_version)
         if self.agent.mode is AgentMode.REFUSING:
             counts.refused += 1
-            self._write(_response(b"503 Service Unavailable", b""))
+            self._write(_encode_response(b"503 Service Unavailable", b""))
             return
-        self.after = after
-        self.waiting = True
+        self.held_version = held_version
+        self.is_call_pending = True
         if self.agent.mode is AgentMode.SILENT:
             return
-        if after != self.agent.registry.version or not wait:
-            self.answer()
+        if held_version != self.agent.registry.version or not wait_s:
+            self.answer_pending_call()
         else:
-            self.timer = self.agent.loop.call_later(wait, self.answer)
+            self.wait_timer = self.agent.loop.call_later(wait_s, self.answer_pending_call)
 
-    def answer(self) -> None:
-        """Answers the call that waits, unless the agent is silent."""
-        if self.transport is None or not self.waiting or self.agent.mode is AgentMode.SILENT:
+    def answer_pending_call(self) -> None:
+        """Answer the pending call, unless the agent is silent."""
+        if self.transport is None or not self.is_call_pending or self.agent.mode is AgentMode.SILENT:
             return
-        after = self.after
-        self._stop_waiting()
-        body = self.agent.registry.body(after)
-        if after is None or b'"full":true' in body[:64]:
+        held_version = self.held_version
+        self._clear_pending_call()
+        body = self.agent.registry.body(held_version)
+        if held_version is None or b'"full":true' in body[:64]:
             self.agent.counts[self.group].whole_lists += 1
-        self._write(_response(b"200 OK", body))
+        self._write(_encode_response(b"200 OK", body))
         if self.buffer:
-            self.agent.loop.call_soon(self._read)
+            self.agent.loop.call_soon(self._handle_buffered_calls)
 
     def _write(self, data: bytes) -> None:
         if self.transport is not None:
             self.transport.write(data)
             self.agent.counts[self.group].bytes_out += len(data)
 
-    def _stop_waiting(self) -> None:
-        self.waiting = False
-        if self.timer is not None:
-            self.timer.cancel()
-            self.timer = None
+    def _clear_pending_call(self) -> None:
+        self.is_call_pending = False
+        if self.wait_timer is not None:
+            self.wait_timer.cancel()
+            self.wait_timer = None
 
 
 class Agent:
-    """Serves one registry on any number of listeners; each listener counts for its own group."""
+    """Serves one registry on any number of listeners.
+
+    Each listener has a group, the name under which its calls are counted.
+    """
 
     def __init__(self, registry: Registry) -> None:
         self.registry = registry
@@ -149,12 +161,13 @@
         self.loop = asyncio.get_running_loop()
         self.connections: set[AgentConnection] = set()
         self.counts: dict[str, AgentCounts] = {}  # by group
-        self.acted: dict[str, list[tuple[int, float]]] = {}  # by group: versions, and when they were acted on
+        # By group: the versions that its ingresses have applied, and when a call showed so (monotonic clock).
+        self.acted: dict[str, list[tuple[int, float]]] = {}
         self.published: list[Published] = []
-        self._servers: dict[str, asyncio.Server] = {}
+        self._servers: dict[str, asyncio.Server] = {}  # by group
 
     async def listen(self, group: str) -> Address:
-        """Opens the listener of a group on an ephemeral loopback port."""
+        """Open the listener of a group on an ephemeral loopback port."""
         server = await self.loop.create_server(
             lambda: AgentConnection(self, group), "127.0.0.1", 0, backlog=4096
         )
@@ -164,8 +177,8 @@
         address: Address = server.sockets[0].getsockname()[:2]
         return address
 
-    async def move(self, group: str) -> Address:
-        """The group's listener goes elsewhere; connections to the old address are reset."""
+    async def move_listener(self, group: str) -> Address:
+        """Move the listener of a group to another port and reset the connections to the old one."""
         self._servers.pop(group).close()
         for connection in [c for c in self.connections if c.group == group]:
             if connection.transport is not None:
@@ -173,35 +186,43 @@
         return await self.listen(group)
 
     def current_watches(self) -> int:
-        """How many watches wait for what follows the newest version."""
-        return sum(each.waiting and each.after == self.registry.version for each in self.connections)
+        """Return how many long polls wait for a change after the newest version."""
+        return sum(
+            each.is_call_pending and each.held_version == self.registry.version for each in self.connections
+        )
 
-    def note_watch(self, group: str, after: int) -> None:
-        """A watch from a version shows that its ingress has acted on it."""
-        seen = self.acted[group]
-        if not seen or seen[-1][0] != after:
-            seen.append((after, time.monotonic()))
+    def record_acted_version(self, group: str, version: int) -> None:
+        """Record that an ingress has applied a version: its long poll asks for the changes after that one."""
+        acted_versions = self.acted[group]
+        if not acted_versions or acted_versions[-1][0] != version:
+            acted_versions.append((version, time.monotonic()))
 
     def publish(self, *entries: Entry) -> Published:
-        """Publishes a change and answers the watches that wait for it."""
+        """Publish a change of some entries and answer the long polls that wait for it."""
         change = self.registry.publish(entries)
         self.published.append(change)
-        self._wake()
+        self._answer_due_calls()
         return change
 
     def set_mode(self, mode: AgentMode) -> None:
-        """Goes down or comes back; what was held meanwhile is answered."""
+        """Set how calls are answered; a return to UP answers the calls that were held while silent."""
         self.mode = mode
         if mode is AgentMode.UP:
-            self._wake()
+            self._answer_due_calls()
+
+    def _answer_due_calls(self) -> None:
+        """Answer the pending calls that are out of date and those that were held while the agent was silent.
 
-    def _wake(self) -> None:
+        A call that was held while the agent was silent has no timer.
+        """
         for connection in list(self.connections):
-            if connection.waiting and (connection.after != self.registry.version or connection.timer is None):
-                connection.answer()
+            if connection.is_call_pending and (
+                connection.held_version != self.registry.version or connection.wait_timer is None
+            ):
+                connection.answer_pending_call()
 
     def close(self) -> None:
-        """Closes listeners and connections."""
+        """Close the listeners and reset the connections."""
         for server in self._servers.values():
             server.close()
         for connection in list(self.connections):
--- a/scale/standins/arrivals.py
+++ b/scale/standins/arrivals.py
@@ -7,11 +7,11 @@
 from collections.abc import Callable
 
 from scale.scenario import Scenario
-from scale.standins.traffic import Mix, RequestDraw
+from scale.standins.traffic import DrawnRequest, RequestMix
 
 
 class Arrivals:
-    """Calls back with each request as it arrives."""
+    """Calls `on_request` with each request at the time at which it arrives."""
 
     def __init__(
         self,
@@ -19,9 +19,9 @@
         ingress: int,
         requests_per_s: float,
         rng: random.Random,
-        on_request: Callable[[RequestDraw], None],
+        on_request: Callable[[DrawnRequest], None],
     ) -> None:
-        self._mix = Mix(scenario, ingress, rng)
+        self._mix = RequestMix(scenario, ingress, rng)
         self._requests_per_s = requests_per_s
         self._rng = rng
         self._on_request = on_request
@@ -34,20 +34,20 @@
         return self._timer is not None
 
     def start(self) -> None:
-        """Requests begin to arrive; at a rate of 0 none ever does."""
+        """Let requests arrive from now on; at a rate of 0 none ever does."""
         if self._requests_per_s > 0:
-            self._schedule(self._loop.time())
+            self._schedule_next(self._loop.time())
 
     def stop(self) -> None:
-        """No further request arrives."""
+        """Let no further request arrive."""
         if self._timer is not None:
             self._timer.cancel()
             self._timer = None
 
-    def _schedule(self, after: float) -> None:
-        at = after + self._rng.expovariate(self._requests_per_s)
-        self._timer = self._loop.call_at(at, self._arrive, at)
+    def _schedule_next(self, last_arrival: float) -> None:
+        next_arrival = last_arrival + self._rng.expovariate(self._requests_per_s)
+        self._timer = self._loop.call_at(next_arrival, self._handle_arrival, next_arrival)
 
-    def _arrive(self, at: float) -> None:
-        self._schedule(at)
-        self._on_request(self._mix.draw())
+    def _handle_arrival(self, scheduled_at: float) -> None:
+        self._schedule_next(scheduled_at)
+        self._on_request(self._mix.draw_request())
--- a/scale/standins/backend_queue.py
+++ b/scale/standins/backend_queue.py
@@ -1,4 +1,4 @@
-"""The queue of one backend: its capacity, its latency, and the load of its cold start."""
+"""The queue of one backend: its capacity, its latency, and the load that it gets during a cold start."""
 
 from __future__ import annotations
 
@@ -8,16 +8,19 @@
 
 from scale.scenario import BackendModel
 
-COLD_WINDOW_S = 0.1  # the load of a cold backend is counted in windows of this length
+COLD_WINDOW_S = 0.1  # length of the windows in which the load of a cold backend is counted
 
 
 def window_of(unix_time: float) -> int:
-    """The number of the window that a moment belongs to."""
+    """Return the number of the window that a Unix time falls into."""
     return int(unix_time / COLD_WINDOW_S)
 
 
 def capacity_at(model: BackendModel, age: float) -> float:
-    """Units a second that a backend can serve at an age (s): a share at first, all after its cold start."""
+    """Return the units per second that a backend can serve `age` seconds after its start.
+
+    The capacity grows linearly from the cold share to the whole over the duration of the cold start.
+    """
     share = model.cold_share + (1 - model.cold_share) * min(max(age / model.cold_s, 0.0), 1.0)
     return model.capacity * share
 
@@ -26,35 +29,35 @@
     """The work that one backend has accepted; it is served in order, at the backend's capacity."""
 
     def __init__(self, model: BackendModel, rng: random.Random) -> None:
-        self.started = 0.0  # Unix time of its last cold start; 0 if there was none
-        self.cold_units: dict[int, float] = {}  # by window, since its last start
+        self.started_at = 0.0  # Unix time of the last cold start; 0 if there was none
+        self.cold_units: dict[int, float] = {}  # units received since the last cold start, by window
         self._model = model
         self._rng = rng
-        self._free_at = 0.0  # monotonic clock: when it has served what it holds
+        self._free_at = 0.0  # when all accepted requests are served, on the monotonic clock
 
-    def start_cold(self, started: float) -> None:
-        """The backend has just been started: its capacity grows from the cold share to the whole."""
-        self.started = started
+    def start_cold(self, started_at: float) -> None:
+        """Begin a cold start at a Unix time: the capacity grows from the cold share to the whole."""
+        self.started_at = started_at
         self.cold_units = {}
 
-    def capacity(self, unix_time: float) -> float:
-        """Units a second that it can serve at a moment."""
-        return capacity_at(self._model, unix_time - self.started)
+    def calculate_capacity(self, unix_time: float) -> float:
+        """Return the units per second that the backend can serve at a Unix time."""
+        return capacity_at(self._model, unix_time - self.started_at)
 
-    def accept(self, units: float) -> float | None:
-        """Queues a request: the time (s) until its answer, or None if the queue is full."""
+    def accept_request(self, units: float) -> float | None:
+        """Queue a request; return the seconds until its answer, or None if the queue is full."""
         now = time.monotonic()
         unix_time = time.time()
-        self._count_cold(units, unix_time)
-        begins = max(now, self._free_at)
-        if begins - now > self._model.queue_s:
+        self._count_cold_units(units, unix_time)
+        begins_at = max(now, self._free_at)
+        if begins_at - now > self._model.queue_s:
             return None
-        self._free_at = begins + units / self.capacity(unix_time)
+        self._free_at = begins_at + units / self.calculate_capacity(unix_time)
         log_median = math.log(self._model.latency_ms / 1000)
         latency = self._rng.lognormvariate(log_median, self._model.latency_sigma)
-        return begins - now + latency
+        return begins_at - now + latency
 
-    def _count_cold(self, units: float, unix_time: float) -> None:
-        if self.started and unix_time < self.started + self._model.cold_s:
+    def _count_cold_units(self, units: float, unix_time: float) -> None:
+        if self.started_at and unix_time < self.started_at + self._model.cold_s:
             window = window_of(unix_time)
             self.cold_units[window] = self.cold_units.get(window, 0.0) + units
--- a/scale/standins/backends.py
+++ b/scale/standins/backends.py
@@ -1,4 +1,7 @@
-"""RESP2 backends: many loopback listeners in one process, each with a capacity, a latency, a cold start."""
+"""The stand-ins of the backends: RESP2 servers on loopback, many in one process.
+
+Each has a capacity, a latency and a cold start of its own.
+"""
 
 from __future__ import annotations
 
@@ -15,65 +18,71 @@
 from scale.scenario import BackendModel
 from scale.standins.backend_queue import BackendQueue
 
-MAX_COMMAND_BYTES = 256 * 1024  # of a command that has not ended
+MAX_COMMAND_BYTES = 256 * 1024  # received bytes of an incomplete command beyond which it is rejected
 
 
 @dataclass(slots=True)
 class BackendCounts:
-    """What one backend has seen."""
+    """What one backend has counted."""
 
     commands: int = 0
     served: int = 0
-    busy: int = 0  # commands that its queue had no room for
-    errors: int = 0  # commands that were malformed
-    connections: int = 0  # accepted so far
+    busy: int = 0
+    """Commands that were rejected because the queue was full."""
+    errors: int = 0
+    """Malformed commands."""
+    connections: int = 0
+    """Accepted connections, open or not."""
 
 
 class BackendServer:
     """One backend."""
 
     def __init__(self, model: BackendModel, rng: random.Random) -> None:
-        self.keepalive_s = model.keepalive_s  # after which an idle connection is closed
+        self.idle_timeout_s = model.keepalive_s
         self.queue = BackendQueue(model, rng)
         self.loop = asyncio.get_running_loop()
-        self.silent = False  # requests get no answer
-        self.active = 0  # requests in flight
+        self.is_silent = False  # received data is ignored and nothing is answered
+        self.requests_in_flight = 0
         self.counts = BackendCounts()
         self.connections: set[BackendConnection] = set()
         self._server: asyncio.Server | None = None
 
     async def listen(self) -> Address:
-        """Opens the listener on an ephemeral loopback port."""
+        """Open the listener on an ephemeral loopback port."""
         self._server = await self.loop.create_server(lambda: BackendConnection(self), "127.0.0.1", 0)
         address: Address = self._server.sockets[0].getsockname()[:2]
         return address
 
-    def start_cold(self, started: float) -> None:
-        """The backend has just been started (Unix time), and is cold."""
-        self.queue.start_cold(started)
+    def start_cold(self, started_at: float) -> None:
+        """Begin a cold start at a Unix time."""
+        self.queue.start_cold(started_at)
+
+    def set_silent(self, is_silent: bool) -> None:
+        """Set whether the backend is silent.
 
-    def set_silent(self, silent: bool) -> None:
-        """Cut off: connections stay open and nothing is answered; they are reset once it is back."""
-        self.silent = silent
-        if not silent:
+        While it is, connections stay open and nothing is answered; at its end the connections are reset.
+        """
+        self.is_silent = is_silent
+        if not is_silent:
             for connection in list(self.connections):
                 connection.abort()
 
     def close(self) -> None:
-        """Closes the listener and the connections."""
+        """Close the listener and reset the connections."""
         if self._server is not None:
             self._server.close()
         for connection in list(self.connections):
             connection.abort()
 
 
-def value_of(answer: bytes) -> tuple[bytes, float]:
-    """The request's id and the backend's service time in seconds, as an answer's value holds them."""
-    request, _, microseconds = answer.partition(b":")
-    return request, int(microseconds) / 1e6
+def parse_answer_value(value: bytes) -> tuple[bytes, float]:
+    """Split the value of an answer into the id of the request and the backend's service time (s)."""
+    request_id, _, microseconds = value.partition(b":")
+    return request_id, int(microseconds) / 1e6
 
 
-def _bulk(text: bytes) -> bytes:
+def _encode_bulk_string(text: bytes) -> bytes:
     return b"$%d\r\n%b\r\n" % (len(text), text)
 
 
@@ -84,19 +93,20 @@
         self.backend = backend
         self.transport: asyncio.Transport | None = None
         self.reader = hiredis.Reader()
-        self.unparsed = 0  # bytes of a command that has not ended
-        self.answers: deque[list[bytes]] = deque()  # in the order of the commands; empty until it is there
+        self.incomplete_bytes = 0  # received bytes of a command that is not complete yet
+        # One list for each command, in their order: it is empty until it gets its one element, the answer.
+        self.answers: deque[list[bytes]] = deque()
         self.idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Registers the new connection."""
+        """Register the new connection."""
         self.transport = cast(asyncio.Transport, transport)
         self.backend.connections.add(self)
         self.backend.counts.connections += 1
         self._restart_idle_timer()
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forgets the connection."""
+        """Remove the connection."""
         self.transport = None
         self.backend.connections.discard(self)
         if self.idle_timer is not None:
@@ -105,85 +115,89 @@
     def _restart_idle_timer(self) -> None:
         if self.idle_timer is not None:
             self.idle_timer.cancel()
-        self.idle_timer = self.backend.loop.call_later(self.backend.keepalive_s, self._idle)
+        self.idle_timer = self.backend.loop.call_later(self.backend.idle_timeout_s, self._close_if_idle)
 
-    def _idle(self) -> None:
+    def _close_if_idle(self) -> None:
         if self.answers:
             self._restart_idle_timer()
         elif self.transport is not None:
             self.transport.close()
 
     def abort(self) -> None:
-        """Resets the connection."""
+        """Reset the connection."""
         if self.transport is not None:
             self.transport.abort()
 
     def data_received(self, data: bytes) -> None:
-        """Reads what the peer has sent."""
-        if self.backend.silent:
+        """Handle the commands that are complete; a silent backend ignores the data."""
+        if self.backend.is_silent:
             return
         self._restart_idle_timer()
-        self.unparsed += len(data)
+        self.incomplete_bytes += len(data)
         self.reader.feed(data)
         try:
             while (command := self.reader.gets()) is not False:
-                self.unparsed = 0
-                self._command(command)
+                self.incomplete_bytes = 0
+                self._handle_command(command)
         except hiredis.ProtocolError:
-            self._syntax_error()
-        if self.unparsed > MAX_COMMAND_BYTES:
-            self._syntax_error()
+            self._reject_malformed()
+        if self.incomplete_bytes > MAX_COMMAND_BYTES:
+            self._reject_malformed()
 
-    def _syntax_error(self) -> None:
+    def _reject_malformed(self) -> None:
         self.backend.counts.errors += 1
         if self.transport is not None:
             self.transport.write(b"-SYNTAX\r\n")
             self.transport.close()
 
-    def _command(self, command: object) -> None:
+    def _handle_command(self, command: object) -> None:
         if not isinstance(command, list) or not command or not all(isinstance(w, bytes) for w in command):
-            self._syntax_error()
+            self._reject_malformed()
             return
         answer: list[bytes] = []
         self.answers.append(answer)
         verb = command[0].upper()
         if verb in (b"API.READ", b"API.WRITE"):
-            self._request(answer, command)
+            self._handle_request(answer, command)
         elif verb == b"PING":
-            self._done(answer, b"+PONG\r\n")
+            self._complete_answer(answer, b"+PONG\r\n")
         elif verb in (b"CLIENT", b"SELECT"):
-            self._done(answer, b"+OK\r\n")
+            self._complete_answer(answer, b"+OK\r\n")
         else:
-            self._done(answer, b"-ERR unknown command\r\n")
+            self._complete_answer(answer, b"-ERR unknown command\r\n")
 
-    def _request(self, answer: list[bytes], words: list[bytes]) -> None:
+    def _handle_request(self, answer: list[bytes], arguments: list[bytes]) -> None:
         try:
-            fields = dict(pair.split(b"=", 1) for pair in words[3].split(b","))
+            fields = dict(pair.split(b"=", 1) for pair in arguments[3].split(b","))
             units = float(fields.get(b"units", b"1"))
         except (IndexError, ValueError):
-            self._syntax_error()
+            self._reject_malformed()
             return
         backend = self.backend
         backend.counts.commands += 1
-        wait = backend.queue.accept(units)
-        if wait is None:
+        delay = backend.queue.accept_request(units)
+        if delay is None:
             backend.counts.busy += 1
-            self._done(answer, b"-BUSY\r\n")
+            self._complete_answer(answer, b"-BUSY\r\n")
             return
-        backend.active += 1
-        backend.loop.call_later(wait, self._serve, answer, words[2], time.monotonic())
+        backend.requests_in_flight += 1
+        backend.loop.call_later(delay, self._finish_request, answer, arguments[2], time.monotonic())
 
-    def _serve(self, answer: list[bytes], request: bytes, arrived: float) -> None:
+    def _finish_request(self, answer: list[bytes], request_id: bytes, arrived_at: float) -> None:
         backend = self.backend
-        backend.active -= 1
-        if backend.silent or self.transport is None:
+        backend.requests_in_flight -= 1
+        if backend.is_silent or self.transport is None:
             return
         backend.counts.served += 1
-        service = max(0, round((time.monotonic() - arrived) * 1e6))
-        value = _bulk(b"%b:%d" % (request, service))
-        self._done(answer, b"*3\r\n%b$-1\r\n%b" % (value, _bulk(b"active=%d" % backend.active)))
-
-    def _done(self, answer: list[bytes], data: bytes) -> None:
+        service_time_us = max(0, round((time.monotonic() - arrived_at) * 1e6))
+        value = _encode_bulk_string(b"%b:%d" % (request_id, service_time_us))
+        self._complete_answer(
+            answer,
+            b"*3\r\n%b$-1\r\n%b" % (value, _encode_bulk_string(b"active=%d" % backend.requests_in_flight)),
+        )
+
+    def _complete_answer(self, answer: list[bytes], data: bytes) -> None:
+        """Fill in an answer, and send all answers that no earlier incomplete one holds back."""
         answer.append(data)
         while self.answers and self.answers[0]:
             ready = self.answers.popleft()
--- a/scale/standins/client_requests.py
+++ b/scale/standins/client_requests.py
@@ -1,4 +1,4 @@
-"""Requests of the clients: their commands, their answers and how they ended."""
+"""Requests of the clients: their commands, their answers and their outcomes."""
 
 from __future__ import annotations
 
@@ -7,55 +7,66 @@
 
 import hiredis
 
-from scale.standins.backends import value_of
+from scale.standins.backends import parse_answer_value
 from scale.standins.histograms import Times
-from scale.standins.traffic import RequestDraw
+from scale.standins.traffic import DrawnRequest
 
 
 @dataclass(slots=True)
 class PendingRequest:
-    """A request that waits for its answer; times are of the monotonic clock."""
+    """A request that waits for its answer; times are on the monotonic clock."""
 
     id: bytes
     command: bytes
     sent_at: float
     deadline: float
-    is_resent: bool = False  # sent once more after the connection was closed
-    is_over: bool = False
-    timer: asyncio.TimerHandle | None = None  # ends the wait
+    is_resent: bool = False
+    """Whether it was sent a second time, after its connection was closed."""
+    is_finished: bool = False
+    """Whether its outcome has been counted."""
+    timer: asyncio.TimerHandle | None = None
+    """Counts the request as lost when it expires."""
 
 
 @dataclass(slots=True)
 class ClientCounts:
-    """How the requests ended."""
+    """How many requests had which outcome."""
 
     requests: int = 0
     served: int = 0
     refused: int = 0
     failed: int = 0
-    late: int = 0  # answered after the deadline; counted beside the outcome
-    lost: int = 0  # never answered
-    duplicated: int = 0  # answers that nothing asked for
-    wrong: int = 0  # answers that were made for another request, or are malformed
-    unreachable: int = 0  # never taken by an ingress
-    cut: int = 0  # cut off by the restart of the ingress
+    late: int = 0
+    """Requests answered after their deadline; they are counted under their outcome too."""
+    lost: int = 0
+    """Requests that were never answered."""
+    duplicated: int = 0
+    """Answers that came while no request was in flight on their connection."""
+    wrong: int = 0
+    """Answers that belong to another request or are malformed."""
+    unreachable: int = 0
+    """Requests that could not be sent: their connection was refused or ended before they were written."""
+    cut: int = 0
+    """Requests without an answer because the process of the ingress was killed."""
 
     def add(self, other: ClientCounts) -> None:
-        """Adds the counts of other clients."""
+        """Add the counts of other clients."""
         for item in fields(self):
             setattr(self, item.name, getattr(self, item.name) + getattr(other, item.name))
 
 
 @dataclass(slots=True)
 class ClientMeasures:
-    """The counts and times of all clients of one ingress."""
+    """The counts and the latencies of all clients of one ingress."""
 
     counts: ClientCounts = field(default_factory=ClientCounts)
-    latency: Times = field(default_factory=Times)  # of served requests
-    added: Times = field(default_factory=Times)  # of served requests, without the backend's service time
+    latency: Times = field(default_factory=Times)
+    """Latencies of served requests."""
+    added: Times = field(default_factory=Times)
+    """Latencies of served requests without the service time of the backend."""
 
     def record_answer(self, request: PendingRequest, answer: object, now: float) -> None:
-        """Counts the final answer of a request, and its latency if a backend served it."""
+        """Count the final answer to a request, and record its latency if a backend served it."""
         self.counts.late += now > request.deadline
         if isinstance(answer, list) and answer:
             answer = answer[0]
@@ -72,7 +83,7 @@
 
     def _record_value(self, request: PendingRequest, answer: object, latency: float) -> None:
         try:
-            request_id, service_time = value_of(answer if isinstance(answer, bytes) else b"")
+            request_id, service_time = parse_answer_value(answer if isinstance(answer, bytes) else b"")
         except ValueError:
             request_id, service_time = b"", 0.0
         if request_id != request.id:
@@ -83,15 +94,15 @@
         self.added.record(max(0.0, latency - service_time))
 
 
-def encode_command(draw: RequestDraw, request_id: bytes, key: bytes) -> bytes:
-    """The RESP2 command of a request; the idempotency key goes with classes that use one."""
+def encode_command(draw: DrawnRequest, request_id: bytes, idempotency_key: bytes) -> bytes:
+    """Return the RESP2 command of a request; the idempotency key is sent only if its class uses one."""
     request_class = draw.request_class
     verb = b"API.READ" if request_class.semantics == "safe" else b"API.WRITE"
-    names = f"c={request_class.name},t={draw.plan.name},d={round(request_class.deadline_s * 1000)}"
+    fields_text = f"c={request_class.name},t={draw.plan.name},d={round(request_class.deadline_s * 1000)}"
     if request_class.semantics == "keyed":
-        names += f",k={key.decode()}"
-    names += f",units={draw.units},spread={draw.plan.spread},first={draw.first}"
-    arguments = [verb, draw.customer.encode(), request_id, names.encode()]
+        fields_text += f",k={idempotency_key.decode()}"
+    fields_text += f",units={draw.units},spread={draw.plan.spread},first={draw.first_ingress}"
+    arguments = [verb, draw.tenant_key.encode(), request_id, fields_text.encode()]
     if verb == b"API.WRITE":
         arguments.append(b"body")
     head = b"*%d\r\n" % len(arguments)
--- a/scale/standins/counter.py
+++ b/scale/standins/counter.py
@@ -1,4 +1,4 @@
-"""The shared counter: text lines over TCP, names spread over parts of bounded speed."""
+"""The stand-in of the shared counter: text lines over TCP, names distributed over parts of limited speed."""
 
 from __future__ import annotations
 
@@ -10,154 +10,164 @@
 
 from scale.addresses import Address
 from scale.standins.counter_calls import AddCall, CounterCallError, parse_add
-from scale.standins.counter_parts import Part
+from scale.standins.counter_parts import CounterPart
 
-IDLE_LIMIT_S = 10.0  # after which an idle connection is closed
-MIN_IDLE_CHECK_S = 0.1  # until a connection that still owes an answer is looked at again
+IDLE_TIMEOUT_S = 10.0  # after which an idle connection is closed
+MIN_IDLE_CHECK_S = 0.1  # delay before a connection with unsent answers is checked for idleness again
 MAX_LINE_BYTES = 256
-SWEEP_PERIOD_S = 5.0  # between two removals of names that are over
-MAX_CONNECTIONS_PER_INGRESS = 32  # further ones are reset
+EXPIRY_PERIOD_S = 5.0  # interval between two removals of expired names
+MAX_CONNECTIONS_PER_INGRESS = 32  # connections beyond this number are reset
 
 
 @dataclass(slots=True)
 class CounterCounts:
-    """What the counter has seen."""
+    """What the counter has counted."""
 
     calls: int = 0
     answered: int = 0
-    busy: int = 0  # calls that a queue had no room for
-    errors: int = 0  # lines that are no call
+    busy: int = 0
+    """Calls that were rejected because the queue of their part was full."""
+    errors: int = 0
+    """Malformed lines."""
     bytes_in: int = 0
     bytes_out: int = 0
 
 
 @dataclass(slots=True)
-class Answer:
-    """The place of one answer in the order of its connection."""
+class PendingAnswer:
+    """One answer's place in the order in which a connection sends its answers."""
 
-    text: bytes | None = None  # None until it is there
+    text: bytes | None = None
+    """The answer without its line end; None until the call is done."""
 
 
-class CallerConnection(asyncio.Protocol):
-    """One connection of an ingress; answers keep the order of its calls."""
+class CounterConnection(asyncio.Protocol):
+    """One connection of an ingress; answers keep the order of the calls."""
 
     def __init__(self, counter: CounterServer) -> None:
         self.counter = counter
         self.transport: asyncio.Transport | None = None
         self.buffer = b""
-        self.answers: deque[Answer] = deque()
-        self.used = counter.loop.time()
-        self.timer: asyncio.TimerHandle | None = None
+        self.pending_answers: deque[PendingAnswer] = deque()
+        self.last_received_at = counter.loop.time()
+        self.idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Takes in the new connection."""
+        """Register the new connection, or reset it if there are too many."""
         self.transport = cast(asyncio.Transport, transport)
-        if len(self.counter.callers) >= self.counter.max_connections:
+        if len(self.counter.connections) >= self.counter.max_connections:
             self.transport.abort()
             return
-        self.counter.callers.add(self)
-        self.timer = self.counter.loop.call_later(IDLE_LIMIT_S, self._close_if_idle)
+        self.counter.connections.add(self)
+        self.idle_timer = self.counter.loop.call_later(IDLE_TIMEOUT_S, self._close_if_idle)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Forgets the connection."""
+        """Remove the connection."""
         self.transport = None
-        self.counter.callers.discard(self)
-        if self.timer is not None:
-            self.timer.cancel()
+        self.counter.connections.discard(self)
+        if self.idle_timer is not None:
+            self.idle_timer.cancel()
 
     def _close_if_idle(self) -> None:
-        left = self.used + IDLE_LIMIT_S - self.counter.loop.time()
-        if left > 0 or self.answers:
-            self.timer = self.counter.loop.call_later(max(left, MIN_IDLE_CHECK_S), self._close_if_idle)
+        remaining_s = self.last_received_at + IDLE_TIMEOUT_S - self.counter.loop.time()
+        if remaining_s > 0 or self.pending_answers:
+            self.idle_timer = self.counter.loop.call_later(
+                max(remaining_s, MIN_IDLE_CHECK_S), self._close_if_idle
+            )
         elif self.transport is not None:
             self.transport.close()
 
     def data_received(self, data: bytes) -> None:
-        """Reads what the peer has sent."""
+        """Handle the lines that are complete; a line that is too long aborts the connection."""
         self.counter.counts.bytes_in += len(data)
-        self.used = self.counter.loop.time()
+        self.last_received_at = self.counter.loop.time()
         *lines, self.buffer = (self.buffer + data).split(b"\n")
         for line in lines:
-            self._answer_line(line.strip())
+            self._handle_line(line.strip())
         if len(self.buffer) > MAX_LINE_BYTES and self.transport is not None:
             self.transport.abort()
 
-    def _answer_line(self, line: bytes) -> None:
-        answer = Answer()
-        self.answers.append(answer)
+    def _handle_line(self, line: bytes) -> None:
+        answer = PendingAnswer()
+        self.pending_answers.append(answer)
         if line == b"ping":
-            self.done(answer, b"pong")
+            self.complete_answer(answer, b"pong")
             return
         try:
             call = parse_add(line)
         except CounterCallError:
             self.counter.counts.errors += 1
-            self.done(answer, b"error")
+            self.complete_answer(answer, b"error")
             return
-        self.counter.add(self, answer, call)
+        self.counter.queue_call(self, answer, call)
 
-    def done(self, answer: Answer, text: bytes) -> None:
-        """An answer is there; what it held up goes out with it."""
+    def complete_answer(self, answer: PendingAnswer, text: bytes) -> None:
+        """Fill in an answer, and send all answers that no earlier incomplete one holds back."""
         answer.text = text
-        ready = []
-        while self.answers and (first := self.answers[0].text) is not None:
-            ready.append(first + b"\r\n")
-            self.answers.popleft()
-        if ready and self.transport is not None:
-            data = b"".join(ready)
+        ready_lines = []
+        while self.pending_answers and (first := self.pending_answers[0].text) is not None:
+            ready_lines.append(first + b"\r\n")
+            self.pending_answers.popleft()
+        if ready_lines and self.transport is not None:
+            data = b"".join(ready_lines)
             self.counter.counts.bytes_out += len(data)
             self.transport.write(data)
 
 
 class CounterServer:
-    """The counter of a fleet.  All ingresses share a loopback address, so the limit of connections
-    is that of one ingress times their number."""
+    """The counter of a fleet.
 
-    def __init__(self, parts: int, calls_per_s: float, queue: int, ingresses: int = 1) -> None:
+    The limit on connections is that of one ingress times their number: all ingresses share one loopback
+    address, so that their connections cannot be told apart.
+    """
+
+    def __init__(self, parts: int, calls_per_s: float, max_queued_calls: int, ingresses: int = 1) -> None:
         self.loop = asyncio.get_running_loop()
-        self.parts = [Part(calls_per_s, queue) for _ in range(parts)]
+        self.parts = [CounterPart(calls_per_s, max_queued_calls) for _ in range(parts)]
         self.max_connections = MAX_CONNECTIONS_PER_INGRESS * ingresses
-        self.callers: set[CallerConnection] = set()
+        self.connections: set[CounterConnection] = set()
         self.counts = CounterCounts()
         self._server: asyncio.Server | None = None
-        self._sweeper: asyncio.TimerHandle | None = None
+        self._expiry_timer: asyncio.TimerHandle | None = None
 
     async def listen(self) -> Address:
-        """Opens the listener on an ephemeral loopback port."""
+        """Open the listener on an ephemeral loopback port."""
         self._server = await self.loop.create_server(
-            lambda: CallerConnection(self), "127.0.0.1", 0, backlog=4096
+            lambda: CounterConnection(self), "127.0.0.1", 0, backlog=4096
         )
-        self._sweep()
+        self._remove_expired_names()
         address: Address = self._server.sockets[0].getsockname()[:2]
         return address
 
-    def add(self, caller: CallerConnection, answer: Answer, call: AddCall) -> None:
-        """One `add`: it waits in the queue, or is answered `busy` if that is full."""
+    def queue_call(self, connection: CounterConnection, answer: PendingAnswer, call: AddCall) -> None:
+        """Queue an `add` call at the part of its name, or answer `busy` if the queue is full."""
         part = self.parts[crc32(call.name) % len(self.parts)]
         self.counts.calls += 1
-        due = part.turn(self.loop.time())
-        if due is None:
+        done_at = part.reserve_turn(self.loop.time())
+        if done_at is None:
             self.counts.busy += 1
-            caller.done(answer, b"busy")
+            connection.complete_answer(answer, b"busy")
         else:
-            self.loop.call_at(due, self._add, part, caller, answer, call)
+            self.loop.call_at(done_at, self._execute_call, part, connection, answer, call)
 
-    def _add(self, part: Part, caller: CallerConnection, answer: Answer, call: AddCall) -> None:
-        total = part.add(call.name, call.amount, call.lifetime, self.loop.time())
+    def _execute_call(
+        self, part: CounterPart, connection: CounterConnection, answer: PendingAnswer, call: AddCall
+    ) -> None:
+        total = part.add(call.name, call.amount, call.lifetime_s, self.loop.time())
         self.counts.answered += 1
-        caller.done(answer, b"ok %.7g" % total)
+        connection.complete_answer(answer, b"ok %.7g" % total)
 
-    def _sweep(self) -> None:
+    def _remove_expired_names(self) -> None:
         for part in self.parts:
-            part.sweep(self.loop.time())
-        self._sweeper = self.loop.call_later(SWEEP_PERIOD_S, self._sweep)
+            part.remove_expired_names(self.loop.time())
+        self._expiry_timer = self.loop.call_later(EXPIRY_PERIOD_S, self._remove_expired_names)
 
     def close(self) -> None:
-        """Closes the listener and the connections."""
-        if self._sweeper is not None:
-            self._sweeper.cancel()
+        """Close the listener and reset the connections."""
+        if self._expiry_timer is not None:
+            self._expiry_timer.cancel()
         if self._server is not None:
             self._server.close()
-        for caller in list(self.callers):
-            if caller.transport is not None:
-                caller.transport.abort()
+        for connection in list(self.connections):
+            if connection.transport is not None:
+                connection.transport.abort()
--- a/scale/standins/counter_calls.py
+++ b/scale/standins/counter_calls.py
@@ -5,29 +5,30 @@
 import re
 from dataclasses import dataclass
 
-MAX_LIFETIME_S = 60.0  # of a new name
-MAX_AMOUNT = 1e9
-ADD = re.compile(rb"add ([!-~]{1,64}) (-?[0-9.]+(?:[eE][-+]?[0-9]+)?) ([0-9]{1,9})")
+MAX_LIFETIME_S = 60.0  # a longer lifetime of a new name is cut to this
+MAX_AMOUNT = 1e9  # the largest amount, of either sign, that one call may add
+ADD_PATTERN = re.compile(rb"add ([!-~]{1,64}) (-?[0-9.]+(?:[eE][-+]?[0-9]+)?) ([0-9]{1,9})")
 
 
 @dataclass(frozen=True, slots=True)
 class AddCall:
-    """Adds an amount to the total of a name."""
+    """A call that adds an amount to the total of a name."""
 
     name: bytes
     amount: float
-    lifetime: float  # s, of the name if it is new
+    lifetime_s: float
+    """How long the name is kept if the call creates it."""
 
 
 class CounterCallError(ValueError):
-    """A line that is no call of the protocol."""
+    """The line is not a valid call of the protocol."""
 
 
 def parse_add(line: bytes) -> AddCall:
-    """Reads `add NAME AMOUNT LIFETIME_MS`; CounterCallError if the line is anything else."""
-    match = ADD.fullmatch(line)
+    """Parse `add NAME AMOUNT LIFETIME_MS`; raise CounterCallError if the line is anything else."""
+    match = ADD_PATTERN.fullmatch(line)
     if match is None:
-        raise CounterCallError("the line is not an add")
+        raise CounterCallError("the line is not an add call")
     try:
         amount = float(match[2])
     except ValueError:
--- a/scale/standins/counter_parts.py
+++ b/scale/standins/counter_parts.py
@@ -1,47 +1,51 @@
-"""The parts of the counter stand-in: totals by name, and a queue of bounded speed."""
+"""The parts of the counter stand-in: each holds totals by name and a queue that is served at a fixed rate."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-ROUNDING_CALLS = 1e-6
+ROUNDING_TOLERANCE_CALLS = 1e-6  # keeps rounding errors from admitting one call more than the queue holds
 
 
 @dataclass(slots=True)
 class Total:
-    """The total of one name, and when the name is over."""
+    """The total of one name."""
 
     value: float
-    ends: float  # on the loop's clock
+    expires_at: float
+    """When the name expires, on the clock of the event loop."""
 
 
-class Part:
-    """One part of the counter: calls take their turn at a fixed rate, as far as the queue reaches."""
+class CounterPart:
+    """One part of the counter: it serves calls one after another at a fixed rate, from a bounded queue."""
 
-    def __init__(self, calls_per_s: float, queue: int) -> None:
+    def __init__(self, calls_per_s: float, max_queued_calls: int) -> None:
         self.calls_per_s = calls_per_s
-        self.queue = queue  # calls that may wait
-        self.free_at = 0.0  # on the loop's clock: when all calls that it holds are done
+        self.max_queued_calls = max_queued_calls
+        self.free_at = 0.0  # when all queued calls are done, on the clock of the event loop
         self.totals: dict[bytes, Total] = {}
 
-    def turn(self, now: float) -> float | None:
-        """When a call that comes now is done, or None if the queue is full."""
-        begins = max(now, self.free_at)
-        if (begins - now) * self.calls_per_s >= self.queue - ROUNDING_CALLS:
+    def reserve_turn(self, now: float) -> float | None:
+        """Queue a call that comes now; return when it is done, or None if the queue is full."""
+        begins_at = max(now, self.free_at)
+        if (begins_at - now) * self.calls_per_s >= self.max_queued_calls - ROUNDING_TOLERANCE_CALLS:
             return None
-        self.free_at = begins + 1 / self.calls_per_s
+        self.free_at = begins_at + 1 / self.calls_per_s
         return self.free_at
 
-    def add(self, name: bytes, amount: float, lifetime: float, now: float) -> float:
-        """Adds to the total of a name, which begins anew once its lifetime (s) is over; the new total."""
+    def add(self, name: bytes, amount: float, lifetime_s: float, now: float) -> float:
+        """Add an amount to the total of a name, and return the new total.
+
+        A name that is new or has expired begins at 0 and gets the given lifetime.
+        """
         total = self.totals.get(name)
-        if total is None or total.ends <= now:
-            total = Total(0.0, now + lifetime)
+        if total is None or total.expires_at <= now:
+            total = Total(0.0, now + lifetime_s)
             self.totals[name] = total
         total.value += amount
         return total.value
 
-    def sweep(self, now: float) -> None:
-        """Forgets the names whose lifetime is over."""
-        for name in [name for name, total in self.totals.items() if total.ends <= now]:
+    def remove_expired_names(self, now: float) -> None:
+        """Remove the names whose lifetime has ended."""
+        for name in [name for name, total in self.totals.items() if total.expires_at <= now]:
             del self.totals[name]
--- a/scale/standins/histograms.py
+++ b/scale/standins/histograms.py
@@ -1,4 +1,4 @@
-"""HDR histograms of times in microseconds, as they are kept and passed between processes."""
+"""HDR histograms of times, recorded in microseconds and passed between processes as text."""
 
 from __future__ import annotations
 
@@ -6,8 +6,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-MIN_US = 1
-MAX_US = 120_000_000  # a longer time counts as this
+MIN_US = 1  # a shorter time is recorded as this
+MAX_US = 120_000_000  # a longer time is recorded as this
 SIGNIFICANT_DIGITS = 3
 
 
@@ -20,26 +20,26 @@
             self.add_encoded(encoded)
 
     def record(self, seconds: float) -> None:
-        """Adds one time; what is out of range counts as the nearest end."""
+        """Record one time; one that is out of range is recorded as the nearest limit."""
         self._histogram.record_value(min(max(round(seconds * 1e6), MIN_US), MAX_US))
 
     def add_encoded(self, encoded: str) -> None:
-        """Adds all times of an encoded histogram."""
+        """Add all times of an encoded histogram."""
         self._histogram.add(HdrHistogram.decode(encoded))
 
     def encode(self) -> str:
-        """The histogram as text."""
+        """Return the histogram as text."""
         return cast(bytes, self._histogram.encode()).decode("ascii")
 
     @property
     def count(self) -> int:
-        """How many times were recorded."""
+        """The number of recorded times."""
         return int(self._histogram.get_total_count())
 
     def microseconds(self, percentile: float) -> float:
-        """A percentile, 0 if nothing was recorded."""
+        """Return a percentile (0 to 100) in microseconds, or 0 if nothing was recorded."""
         return float(self._histogram.get_value_at_percentile(percentile)) if self.count else 0.0
 
     def milliseconds(self, percentile: float) -> float:
-        """A percentile in milliseconds."""
+        """Return a percentile (0 to 100) in milliseconds, or 0 if nothing was recorded."""
         return self.microseconds(percentile) / 1000
--- a/scale/standins/registry.py
+++ b/scale/standins/registry.py
@@ -1,4 +1,4 @@
-"""The list of backends that discovery keeps, with its history, in the agent's encoding."""
+"""The list of backends that the discovery agent serves, with its recent changes, in the agent's encoding."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 from scale.addresses import Address
 
-MAX_HISTORY_CHANGES = 4096  # that are kept: a watch from before them gets the whole list
+MAX_KEPT_CHANGES = 4096  # a call that asks for older changes gets the complete list
 State = Literal["ready", "draining", "gone"]
 
 
 @dataclass(frozen=True, slots=True)
 class Entry:
-    """One backend as the list shows it."""
+    """The entry of one backend in the list."""
 
     id: str
     address: Address
@@ -29,7 +29,7 @@
     weight: float = 1.0
 
     def encode(self) -> str:
-        """The entry as discovery's JSON object."""
+        """Return the entry as the JSON object that the agent sends."""
         return json.dumps(
             {
                 "id": self.id,
@@ -47,28 +47,33 @@
 
 @dataclass(frozen=True, slots=True)
 class Published:
-    """A change of the list, and the monotonic time at which it was published."""
+    """A published change of the list."""
 
     version: int
+    """The version of the list with the change."""
     at: float
+    """When it was published, on the monotonic clock."""
     entries: tuple[Entry, ...]
 
 
 class Registry:
-    """The list of backends and its recent changes; answers are encoded once for all watchers."""
+    """The list of backends and its recent changes.
+
+    An answer is encoded once for all calls that hold the same version.
+    """
 
     def __init__(self, entries: Iterable[Entry] = ()) -> None:
-        self.entries = {entry.id: entry for entry in entries}
+        self.entries = {entry.id: entry for entry in entries}  # by id
         self.version = 1
-        self.changes: deque[Published] = deque(maxlen=MAX_HISTORY_CHANGES)
-        self._encoded: dict[int | None, bytes] = {}
+        self.changes: deque[Published] = deque(maxlen=MAX_KEPT_CHANGES)
+        self._encoded_answers: dict[int | None, bytes] = {}  # by the version that the caller holds
 
     def publish(self, entries: Iterable[Entry]) -> Published:
-        """Changes some entries; an entry that is gone leaves the list."""
+        """Change some entries; an entry in the state `gone` is removed from the list."""
         change = Published(self.version + 1, time.monotonic(), tuple(entries))
         self.version = change.version
         self.changes.append(change)
-        self._encoded.clear()
+        self._encoded_answers.clear()
         for entry in change.entries:
             if entry.state == "gone":
                 self.entries.pop(entry.id, None)
@@ -76,26 +81,30 @@
                 self.entries[entry.id] = entry
         return change
 
-    def body(self, after: int | None) -> bytes:
-        """The answer to a call: what changed after a version, or the whole list."""
-        first = self.changes[0].version if self.changes else self.version + 1
-        if after is not None and not first - 1 <= after <= self.version:
-            after = None
-        if after not in self._encoded:
-            self._encoded[after] = self._encode(after)
-        return self._encoded[after]
-
-    def _encode(self, after: int | None) -> bytes:
-        if after is None:
+    def body(self, held_version: int | None) -> bytes:
+        """Return the encoded answer to a call from an ingress that holds a version of the list.
+
+        It contains the changes after that version, or the complete list if the version is None or its next
+        change is no longer kept.
+        """
+        oldest_kept = self.changes[0].version if self.changes else self.version + 1
+        if held_version is not None and not oldest_kept - 1 <= held_version <= self.version:
+            held_version = None
+        if held_version not in self._encoded_answers:
+            self._encoded_answers[held_version] = self._encode(held_version)
+        return self._encoded_answers[held_version]
+
+    def _encode(self, held_version: int | None) -> bytes:
+        if held_version is None:
             rows = list(self.entries.values())
         else:
             latest: dict[str, Entry] = {}
             for change in reversed(self.changes):
-                if change.version <= after:
+                if change.version <= held_version:
                     break
                 for entry in reversed(change.entries):
                     latest.setdefault(entry.id, entry)
             rows = list(latest.values())
-        full = "true" if after is None else "false"
+        full = "true" if held_version is None else "false"
         servers = ",".join(row.encode() for row in rows)
         return f'{{"version":{self.version},"full":{full},"servers":[{servers}]}}'.encode()
--- a/scale/standins/traffic.py
+++ b/scale/standins/traffic.py
@@ -9,51 +9,67 @@
 
 from scale.scenario import ClassModel, PlanModel, Scenario
 
-UNITS = (1, 1, 1, 2, 4)  # of a request; each is as likely
-MAX_UNITS = max(UNITS)
+UNIT_CHOICES = (1, 1, 1, 2, 4)  # units of a request, drawn with equal probability
+MAX_UNITS = max(UNIT_CHOICES)
 
 
 @dataclass(frozen=True, slots=True)
-class RequestDraw:
-    """One request: its class, its tenant with plan and set of ingresses, its units."""
+class DrawnRequest:
+    """One request of a tenant."""
 
     request_class: ClassModel
     plan: PlanModel
-    customer: str
-    first: int
+    tenant_key: str
+    first_ingress: int
+    """The number of the first ingress that serves the tenant; the others have the numbers after it."""
     units: int
 
 
-class Mix:
-    """Draws the requests that reach one ingress; a tenant's plan and set depend on its number alone."""
+class RequestMix:
+    """Draws the requests that reach one ingress.
+
+    A tenant's plan and the ingresses that serve it depend only on the number of the tenant.
+    """
 
     def __init__(self, scenario: Scenario, ingress: int, rng: random.Random) -> None:
         self.scenario = scenario
         self.ingress = ingress
         self.rng = rng
-        self.ingresses = scenario.sizes.ingresses
-        self.tenants = scenario.sizes.tenants
+        self.ingress_count = scenario.sizes.ingresses
+        self.tenant_count = scenario.sizes.tenants
         self.max_spread = max(plan.spread for plan in scenario.plans)
-        self._plan_bounds = list(accumulate(plan.share for plan in scenario.plans))
-        self._class_bounds = list(accumulate(cls.share for cls in scenario.classes))
+        self._cumulative_plan_shares = list(accumulate(plan.share for plan in scenario.plans))
+        self._cumulative_class_shares = list(accumulate(cls.share for cls in scenario.classes))
+
+    def get_plan(self, tenant: int) -> PlanModel:
+        """Return the plan of a tenant.
 
-    def plan_of(self, tenant: int) -> PlanModel:
-        """The plan of a tenant: the shares hold for the tenants of each ingress."""
-        place = (tenant // self.ingresses * 0.6180339887498949) % 1.0  # evenly spread, whatever the number
-        return self.scenario.plans[bisect(self._plan_bounds, place * self._plan_bounds[-1])]
+        The tenants whose first ingress is the same one are numbered in turn, and multiples of the golden
+        ratio spread evenly over [0, 1) for any number of them: the plans get their shares at each ingress.
+        """
+        position = (tenant // self.ingress_count * 0.6180339887498949) % 1.0
+        return self.scenario.plans[
+            bisect(self._cumulative_plan_shares, position * self._cumulative_plan_shares[-1])
+        ]
 
-    def draw(self) -> RequestDraw:
-        """The next request: any tenant whose set holds this ingress is as likely as any other."""
+    def draw_request(self) -> DrawnRequest:
+        """Draw the next request; all tenants that this ingress serves are equally likely."""
         while True:
             offset = self.rng.randrange(self.max_spread)
-            first = (self.ingress - offset) % self.ingresses
-            tenant = first + self.ingresses * self.rng.randrange(self._tenants_from(first))
-            plan = self.plan_of(tenant)
+            first_ingress = (self.ingress - offset) % self.ingress_count
+            tenant = first_ingress + self.ingress_count * self.rng.randrange(
+                self._count_tenants(first_ingress)
+            )
+            plan = self.get_plan(tenant)
+            # Otherwise the plan does not spread the tenant as far as this ingress: draw again.
             if offset < plan.spread:
                 break
-        position = self.rng.random() * self._class_bounds[-1]
-        request_class = self.scenario.classes[bisect(self._class_bounds, position)]
-        return RequestDraw(request_class, plan, f"{tenant:016x}", first, self.rng.choice(UNITS))
+        position = self.rng.random() * self._cumulative_class_shares[-1]
+        request_class = self.scenario.classes[bisect(self._cumulative_class_shares, position)]
+        return DrawnRequest(
+            request_class, plan, f"{tenant:016x}", first_ingress, self.rng.choice(UNIT_CHOICES)
+        )
 
-    def _tenants_from(self, first: int) -> int:
-        return (self.tenants - 1 - first) // self.ingresses + 1
+    def _count_tenants(self, first_ingress: int) -> int:
+        """Return how many tenants have a given first ingress."""
+        return (self.tenant_count - 1 - first_ingress) // self.ingress_count + 1
--- a/tests/scale/standins/scenarios.py
+++ b/tests/scale/standins/scenarios.py
@@ -1,11 +1,11 @@
-"""A scenario with real ingresses alone, for the tests of clients and traffic."""
+"""A scenario with real ingresses only, for the tests of clients and traffic."""
 
 from __future__ import annotations
 
 from scale.scenario import Scenario
 
 
-def small_scenario(rate: float = 0.0) -> Scenario:
+def small_scenario(requests_per_s: float = 0.0) -> Scenario:
     return Scenario.model_validate(
         {
             "name": "small",
@@ -16,7 +16,7 @@
                 "backends": 1,
                 "tenants": 40,
                 "requests_per_s": 0.0,
-                "real_requests_per_s": rate,
+                "real_requests_per_s": requests_per_s,
             },
             "classes": [{"name": "read", "aim_s": 0.5, "deadline_s": 1.0}],
             "plans": [
--- a/tests/scale/standins/test_arrivals.py
+++ b/tests/scale/standins/test_arrivals.py
@@ -1,36 +1,36 @@
-"""The stream of requests at one ingress."""
+"""The stream of requests that arrive at one ingress."""
 
 from __future__ import annotations
 
 import random
 
 from scale.standins.arrivals import Arrivals
-from scale.standins.traffic import RequestDraw
+from scale.standins.traffic import DrawnRequest
 from tests.scale.standins.scenarios import small_scenario
 from tests.support.peers import run, until
 
 
-async def first_draws(count: int) -> list[RequestDraw]:
-    draws: list[RequestDraw] = []
-    arrivals = Arrivals(small_scenario(), 1, 5_000.0, random.Random(7), draws.append)
+async def collect_first_requests(count: int) -> list[DrawnRequest]:
+    requests: list[DrawnRequest] = []
+    arrivals = Arrivals(small_scenario(), 1, 5_000.0, random.Random(7), requests.append)
     arrivals.start()
     assert arrivals.is_running
-    await until(lambda: len(draws) >= count)
+    await until(lambda: len(requests) >= count)
     arrivals.stop()
     assert not arrivals.is_running
-    return draws[:count]
+    return requests[:count]
 
 
-def test_the_same_seed_gives_the_same_requests() -> None:
+def test_same_seed_gives_the_same_requests() -> None:
     async def body() -> None:
-        assert await first_draws(10) == await first_draws(10)
+        assert await collect_first_requests(10) == await collect_first_requests(10)
 
     run(body())
 
 
-def test_at_a_rate_of_0_nothing_arrives() -> None:
+def test_no_request_arrives_at_a_rate_of_0() -> None:
     async def body() -> None:
-        arrivals = Arrivals(small_scenario(), 1, 0.0, random.Random(7), lambda draw: None)
+        arrivals = Arrivals(small_scenario(), 1, 0.0, random.Random(7), lambda request: None)
         arrivals.start()
         assert not arrivals.is_running
 
--- a/tests/scale/standins/test_backends.py
+++ b/tests/scale/standins/test_backends.py
@@ -1,4 +1,4 @@
-"""Backends: answers, their queue, silence, and the load of a cold start."""
+"""The stand-ins of the backends: answers, the queue, silence, and the load counted during a cold start."""
 
 from __future__ import annotations
 
@@ -9,21 +9,21 @@
 import pytest
 
 from scale.scenario import BackendModel
-from scale.standins.backends import BackendServer, value_of
+from scale.standins.backends import BackendServer, parse_answer_value
 from tests.support.peers import Caller, command, resp, run
 
-QUICK = BackendModel(latency_ms=1.0, latency_sigma=0.0, capacity=1000.0)
+FAST_BACKEND = BackendModel(latency_ms=1.0, latency_sigma=0.0, capacity=1000.0)
 
 
-def test_a_backend_serves_its_request_and_says_how_long_it_took() -> None:
+def test_backend_answers_a_request_with_its_service_time() -> None:
     async def body() -> None:
-        backend = BackendServer(QUICK, random.Random(1))
+        backend = BackendServer(FAST_BACKEND, random.Random(1))
         caller = await Caller.to(await backend.listen())
-        served = await caller.ask(command("00000000000000aa"))
-        assert value_of(served[0])[0] == b"00000000000000aa"
-        assert value_of(served[0])[1] > 0
-        assert served[1] is None
-        assert served[2] == b"active=0"
+        answer = await caller.ask(command("00000000000000aa"))
+        assert parse_answer_value(answer[0])[0] == b"00000000000000aa"
+        assert parse_answer_value(answer[0])[1] > 0
+        assert answer[1] is None
+        assert answer[2] == b"active=0"
         assert await caller.ask(resp(b"PING")) == b"PONG"
         assert str(await caller.ask(resp(b"HELLO"))).startswith("ERR")
         assert (backend.counts.commands, backend.counts.served) == (1, 1)
@@ -32,10 +32,10 @@
     run(body())
 
 
-def test_a_backend_rejects_what_its_queue_has_no_room_for() -> None:
+def test_backend_rejects_requests_when_its_queue_is_full() -> None:
     async def body() -> None:
-        slow = BackendModel(latency_ms=1.0, capacity=1.0, queue_s=0.5)
-        backend = BackendServer(slow, random.Random(1))
+        slow_backend = BackendModel(latency_ms=1.0, capacity=1.0, queue_s=0.5)
+        backend = BackendServer(slow_backend, random.Random(1))
         caller = await Caller.to(await backend.listen())
         caller.writer.write(command("00000000000000aa") + command("00000000000000bb"))
         assert isinstance(await caller.answer(), list)
@@ -45,9 +45,9 @@
     run(body())
 
 
-def test_a_silent_backend_answers_nothing_and_resets_once_it_is_back() -> None:
+def test_silent_backend_answers_nothing_and_resets_its_connections_afterwards() -> None:
     async def body() -> None:
-        backend = BackendServer(QUICK, random.Random(1))
+        backend = BackendServer(FAST_BACKEND, random.Random(1))
         caller = await Caller.to(await backend.listen())
         await caller.ask(resp(b"PING"))
         backend.set_silent(True)
@@ -61,26 +61,26 @@
     run(body())
 
 
-def test_a_cold_backend_counts_its_load_by_window() -> None:
+def test_cold_backend_counts_its_load_by_window() -> None:
     async def body() -> None:
-        backend = BackendServer(QUICK, random.Random(1))
+        backend = BackendServer(FAST_BACKEND, random.Random(1))
         caller = await Caller.to(await backend.listen())
         await caller.ask(command("00000000000000aa"))
         assert not backend.queue.cold_units
         backend.start_cold(time.time())
         await caller.ask(command("00000000000000bb"))
         assert sum(backend.queue.cold_units.values()) == 1
-        assert backend.queue.capacity(backend.queue.started) == pytest.approx(200)
-        assert backend.queue.capacity(backend.queue.started + 10) == pytest.approx(1000)
+        assert backend.queue.calculate_capacity(backend.queue.started_at) == pytest.approx(200)
+        assert backend.queue.calculate_capacity(backend.queue.started_at + 10) == pytest.approx(1000)
         backend.close()
 
     run(body())
 
 
 @pytest.mark.parametrize("bad", [resp(b"API.READ", b"1"), b"*1\r\n:3\r\n", b"!x\r\n", b"*0\r\n"])
-def test_a_malformed_command_ends_the_connection(bad: bytes) -> None:
+def test_malformed_command_is_answered_with_syntax_and_closes_the_connection(bad: bytes) -> None:
     async def body() -> None:
-        backend = BackendServer(QUICK, random.Random(1))
+        backend = BackendServer(FAST_BACKEND, random.Random(1))
         reader, writer = await asyncio.open_connection(*await backend.listen())
         writer.write(bad)
         assert await reader.read() == b"-SYNTAX\r\n"
--- a/tests/scale/standins/test_clients.py
+++ b/tests/scale/standins/test_clients.py
@@ -1,4 +1,4 @@
-"""Clients: how each answer is judged, and what becomes of a connection that closes."""
+"""The clients of real ingresses: how each answer is counted, and how closed connections are handled."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.scale.standins.scenarios import small_scenario
 from tests.support.peers import Peer, Reader, Writer, read_command, run, until, value
 
-SCRIPTS: list[tuple[bytes | None, str]] = [
+REPLIES: list[tuple[bytes | None, str]] = [
     (None, "served"),
     (b"-BUSY 20\r\n", "refused"),
     (b"-ERR failed\r\n", "failed"),
@@ -19,19 +19,22 @@
 ]
 
 
-@pytest.mark.parametrize(("reply", "outcome"), SCRIPTS)
-def test_a_client_judges_each_answer(reply: bytes | None, outcome: str) -> None:
-    """No reply ("") ends the connection: an ingress that does so on its first request loses it."""
+@pytest.mark.parametrize(("reply", "outcome"), REPLIES)
+def test_client_counts_each_answer_under_its_outcome(reply: bytes | None, outcome: str) -> None:
+    """The empty reply closes the connection: a request is lost if that happens on a new connection.
 
-    async def script(_: int, reader: Reader, writer: Writer) -> None:
-        while words := await read_command(reader):
-            writer.write(value(words[2] + b":1500") if reply is None else reply)
+    Where the reply is None, the peer answers with the id of the request.
+    """
+
+    async def serve_connection(_: int, reader: Reader, writer: Writer) -> None:
+        while arguments := await read_command(reader):
+            writer.write(value(arguments[2] + b":1500") if reply is None else reply)
             if reply == b"":
                 return
 
     async def body() -> None:
-        async with Peer(script) as peer:
-            client = Client(small_scenario(rate=1000.0), 1, peer.address, seed=1)
+        async with Peer(serve_connection) as peer:
+            client = Client(small_scenario(requests_per_s=1000.0), 1, peer.address, seed=1)
             client.start()
             await until(lambda: client.measures.counts.requests)
             client.stop()
@@ -41,15 +44,15 @@
     run(body())
 
 
-def test_an_answer_that_nothing_asked_for_is_a_duplicate() -> None:
-    async def script(_: int, reader: Reader, writer: Writer) -> None:
-        words = await read_command(reader)
-        writer.write(2 * value(words[2] + b":1500"))
+def test_answer_without_a_request_in_flight_counts_as_duplicated() -> None:
+    async def serve_connection(_: int, reader: Reader, writer: Writer) -> None:
+        arguments = await read_command(reader)
+        writer.write(2 * value(arguments[2] + b":1500"))
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer:
-            client = Client(small_scenario(rate=1000.0), 1, peer.address, seed=1)
+        async with Peer(serve_connection) as peer:
+            client = Client(small_scenario(requests_per_s=1000.0), 1, peer.address, seed=1)
             client.start()
             await until(lambda: client.measures.counts.duplicated)
             client.stop()
@@ -58,18 +61,18 @@
     run(body())
 
 
-def test_a_request_that_crosses_a_closing_is_sent_once_more() -> None:
-    async def script(number: int, reader: Reader, writer: Writer) -> None:
-        words = await read_command(reader)
-        writer.write(value(words[2] + b":1"))
-        while words := await read_command(reader):
+def test_request_on_a_reused_connection_that_closes_is_sent_once_more() -> None:
+    async def serve_connection(number: int, reader: Reader, writer: Writer) -> None:
+        arguments = await read_command(reader)
+        writer.write(value(arguments[2] + b":1"))
+        while arguments := await read_command(reader):
             if number == 0:
                 return
-            writer.write(value(words[2] + b":1"))
+            writer.write(value(arguments[2] + b":1"))
 
     async def body() -> None:
-        async with Peer(script) as peer:
-            client = Client(small_scenario(rate=200.0), 1, peer.address, seed=1)
+        async with Peer(serve_connection) as peer:
+            client = Client(small_scenario(requests_per_s=200.0), 1, peer.address, seed=1)
             client.start()
             await until(lambda: client.measures.counts.served >= 10)
             await client.finish(5.0)
@@ -82,7 +85,7 @@
     run(body())
 
 
-def test_no_ping_is_answered_where_nobody_listens() -> None:
+def test_ping_fails_if_nothing_listens_at_the_address() -> None:
     async def body() -> None:
         async with Peer(lambda *_: asyncio.sleep(0)) as peer:
             address = peer.address
--- a/tests/scale/standins/test_traffic.py
+++ b/tests/scale/standins/test_traffic.py
@@ -4,16 +4,16 @@
 
 import random
 
-from scale.standins.traffic import Mix
+from scale.standins.traffic import RequestMix
 from tests.scale.standins.scenarios import small_scenario
 
 
-def test_requests_come_from_tenants_whose_set_holds_the_ingress() -> None:
+def test_requests_come_from_tenants_that_the_ingress_serves() -> None:
     scenario = small_scenario()
     for ingress in range(4):
-        mix = Mix(scenario, ingress, random.Random(ingress))
-        for draw in [mix.draw() for _ in range(200)]:
-            assert (ingress - draw.first) % 4 < draw.plan.spread
-            tenant = int(draw.customer, 16)
+        mix = RequestMix(scenario, ingress, random.Random(ingress))
+        for request in [mix.draw_request() for _ in range(200)]:
+            assert (ingress - request.first_ingress) % 4 < request.plan.spread
+            tenant = int(request.tenant_key, 16)
             assert tenant < 40
-            assert (tenant % 4, mix.plan_of(tenant)) == (draw.first, draw.plan)
+            assert (tenant % 4, mix.get_plan(tenant)) == (request.first_ingress, request.plan)
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow ingresses hold the decision module to one final answer a request."""
+"""Hollow ingresses: each request gets one final answer, and changes of the endpoint list are acted on."""
 
 from __future__ import annotations
 
@@ -30,22 +30,22 @@
 )
 ENTRIES = [Entry(name, ("127.0.0.1", 9), "zone-0") for name in ("b0", "b1")]
 NEW_ENTRY = Entry("b2", ("127.0.0.1", 9), "zone-0")
-Decide = Callable[[api.Event], list[api.Action]]
+DecisionFunction = Callable[[api.Event], list[api.Action]]
 
 
-def refuse_twice(event: api.Event) -> list[api.Action]:
+def reject_twice(event: api.Event) -> list[api.Action]:
     return [api.Reject(event.id), api.Reject(event.id)] if isinstance(event, api.Request) else []
 
 
-def do_nothing(event: api.Event) -> list[api.Action]:
+def decide_nothing(event: api.Event) -> list[api.Action]:
     return []
 
 
-def send_on(event: api.Event) -> list[api.Action]:
+def send_to_listed_backend(event: api.Event) -> list[api.Action]:
     return [api.SendAttempt(event.id, "b0", 9.0)] if isinstance(event, api.Request) else []
 
 
-def send_nowhere(event: api.Event) -> list[api.Action]:
+def send_to_unlisted_backend(event: api.Event) -> list[api.Action]:
     if isinstance(event, api.Request):
         return [api.SendAttempt(event.id, "unknown", 1.0)]
     if isinstance(event, api.AttemptEnded) and event.outcome is api.Outcome.CONNECT_FAILED:
@@ -53,17 +53,16 @@
     return []
 
 
-def impatient() -> Scenario:
-    """The same with a short deadline."""
-    short = SCENARIO.classes[0].model_copy(update={"aim_s": 0.1, "deadline_s": 0.2})
-    return SCENARIO.model_copy(update={"classes": (short,)})
+def scenario_with_short_deadline() -> Scenario:
+    request_class = SCENARIO.classes[0].model_copy(update={"aim_s": 0.1, "deadline_s": 0.2})
+    return SCENARIO.model_copy(update={"classes": (request_class,)})
 
 
 @asynccontextmanager
-async def started_worker(scenario: Scenario) -> AsyncIterator[tuple[Worker, Agent]]:
-    """A worker with one hollow ingress, and the agent that it watches."""
+async def start_worker(scenario: Scenario) -> AsyncIterator[tuple[Worker, Agent]]:
+    """Start a worker with one hollow ingress, and the agent that it watches."""
     agent = Agent(Registry(ENTRIES))
-    counter = CounterServer(parts=1, calls_per_s=10_000, queue=100)
+    counter = CounterServer(parts=1, calls_per_s=10_000, max_queued_calls=100)
     start = StartHollow(
         scenario=scenario,
         numbers=[0],
@@ -80,57 +79,62 @@
         counter.close()
 
 
-def script_module(decide: Decide, monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hollow ingresses decide by a script in place of the decision module."""
+def replace_decision_module(decide: DecisionFunction, monkeypatch: pytest.MonkeyPatch) -> None:
+    """Make hollow ingresses call `decide` in place of the decision module."""
 
-    class Scripted:
+    class ScriptedGateway:
         def __init__(self, settings: api.Settings, seed: int) -> None:
             pass
 
         def handle(self, now: float, event: api.Event) -> list[api.Action]:
             return decide(event)
 
-    monkeypatch.setattr(hollow_ingress, "Gateway", Scripted)
+    monkeypatch.setattr(hollow_ingress, "Gateway", ScriptedGateway)
 
 
-async def play(scenario: Scenario = SCENARIO) -> tuple[HollowReport, Agent]:
-    """Some requests and one change of the list at one hollow ingress."""
-    async with started_worker(scenario) as (worker, agent):
+async def run_ingress(scenario: Scenario = SCENARIO) -> tuple[HollowReport, Agent]:
+    """Run one hollow ingress for some requests and one list change; return its report and the agent."""
+    async with start_worker(scenario) as (worker, agent):
         worker.load()
         await until(
-            lambda: worker.world.counts["requests"] >= 20 and any(c.waiting for c in agent.connections)
+            lambda: worker.world.counts["requests"] >= 20
+            and any(c.is_call_pending for c in agent.connections)
         )
         agent.publish(NEW_ENTRY)
         await until(lambda: worker.ingresses[0].incarnation.acted)
         return await worker.finish(), agent
 
 
-OUTCOMES: list[tuple[Decide, str]] = [
-    (send_on, "served"),
-    (do_nothing, "forced"),
-    (refuse_twice, "refused"),
-    (send_nowhere, "failed"),
+OUTCOMES: list[tuple[DecisionFunction, str]] = [
+    (send_to_listed_backend, "served"),
+    (decide_nothing, "forced"),
+    (reject_twice, "refused"),
+    (send_to_unlisted_backend, "failed"),
 ]
 
 
 @pytest.mark.parametrize(("decide", "outcome"), OUTCOMES)
-def test_each_request_ends_once(decide: Decide, outcome: str, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_each_request_gets_one_final_answer_from_a_scripted_module(
+    decide: DecisionFunction, outcome: str, monkeypatch: pytest.MonkeyPatch
+) -> None:
     async def body() -> None:
-        script_module(decide, monkeypatch)
-        report, _ = await play(impatient() if decide is do_nothing else SCENARIO)
+        replace_decision_module(decide, monkeypatch)
+        report, _ = await run_ingress(
+            scenario_with_short_deadline() if decide is decide_nothing else SCENARIO
+        )
         counts = report.counts
         assert counts[outcome] == counts["requests"]
-        assert counts.get("duplicated", 0) == (counts["requests"] if decide is refuse_twice else 0)
+        assert counts.get("duplicated", 0) == (counts["requests"] if decide is reject_twice else 0)
         assert counts["lost"] == 0
 
     run(body())
 
 
-def test_the_module_ends_each_request_once() -> None:
-    """It may refuse what comes while more is out than it trusts the two backends with."""
+def test_each_request_gets_one_final_answer_from_the_decision_module() -> None:
+    """The module may reject requests while the two backends have as many in flight as it allows them."""
 
     async def body() -> None:
-        report, _ = await play()
+        report, _ = await run_ingress()
         counts = report.counts
         assert counts["served"] + counts.get("refused", 0) == counts["requests"]
         assert counts["served"] >= 1
@@ -139,9 +143,9 @@
     run(body())
 
 
-def test_a_change_is_acted_on_once_the_module_has_it() -> None:
+def test_change_counts_as_acted_on_after_the_module_has_received_it() -> None:
     async def body() -> None:
-        report, agent = await play()
+        report, agent = await run_ingress()
         (incarnation,) = report.incarnations
         (change,) = agent.published
         assert [version for version, _ in incarnation.acted] == [change.version]
@@ -150,9 +154,9 @@
     run(body())
 
 
-def test_a_restart_is_a_new_incarnation_that_begins_with_the_known_list() -> None:
+def test_restarted_ingress_is_a_new_incarnation_that_starts_with_the_known_list() -> None:
     async def body() -> None:
-        async with started_worker(SCENARIO) as (worker, agent):
+        async with start_worker(SCENARIO) as (worker, agent):
             agent.publish(NEW_ENTRY)
             await until(lambda: worker.ingresses[0].incarnation.acted)
             await worker.restart([0])
@@ -166,7 +170,7 @@
     run(body())
 
 
-def test_the_known_list_is_read_as_the_agent_writes_it() -> None:
+def test_known_list_is_decoded_as_the_agent_encodes_it() -> None:
     known = read_known(Registry(ENTRIES).body(None).decode())
     assert known.kind is api.EndpointUpdateKind.RESTORED
     assert known.version == 1
