--- a/scale/cold/__init__.py
+++ b/scale/cold/__init__.py
@@ -1,1 +1,1 @@
-"""How much a cold backend gets from all ingresses together, in simulated time."""
+"""Simulates fleets in which backends start cold, and counts the requests that the cold backends get."""
--- a/scale/cold/backends.py
+++ b/scale/cold/backends.py
@@ -1,4 +1,4 @@
-"""The backends of a fleet with cold starts: which of them start when, and how long each request takes."""
+"""The backends of a simulated fleet: which of them start cold, and how long each takes to serve a request."""
 
 from __future__ import annotations
 
@@ -13,43 +13,47 @@
 class Replacement:
     """The backends before and after the cold starts."""
 
-    starts_at: float  # s on the simulated clock: when all cold backends start
-    initial: tuple[Backend, ...]
-    cold: tuple[Backend, ...]
+    starts_at: float
+    """When all cold backends start, in seconds on the simulated clock."""
+    initial_backends: tuple[Backend, ...]
+    cold_backends: tuple[Backend, ...]
     cold_ids: frozenset[str]
     removed_ids: frozenset[str]
+    """The ids that leave the endpoint list; empty if the backends restart under their ids."""
 
-    def update(self) -> EndpointUpdate:
-        """The change of the list: old backends are gone, or are back under their ids."""
-        removed = tuple(Backend(name, readiness=Readiness.REMOVED) for name in sorted(self.removed_ids))
-        return EndpointUpdate(EndpointUpdateKind.UPDATE, removed + self.cold)
+    def build_update(self) -> EndpointUpdate:
+        """Return the change of the endpoint list: old backends are removed, cold ones added or updated."""
+        removed = tuple(
+            Backend(removed_id, readiness=Readiness.REMOVED) for removed_id in sorted(self.removed_ids)
+        )
+        return EndpointUpdate(EndpointUpdateKind.UPDATE, removed + self.cold_backends)
 
 
 def plan_replacement(job: ColdStarts, starts_at: float) -> Replacement:
-    """The backends of a job, of which the first ones start cold at a time."""
-    initial = tuple(Backend(f"b{number}") for number in range(job.backends))
-    leaving = initial[: max(1, round(job.backends * job.replaced_share))]
+    """Return the backends of a job; the first of them are replaced or restarted at `starts_at`."""
+    initial_backends = tuple(Backend(f"b{number}") for number in range(job.backends))
+    replaced_backends = initial_backends[: max(1, round(job.backends * job.replaced_share))]
     suffix = "" if job.start_kind == "restarted" else "-new"
-    cold = tuple(Backend(old.id + suffix, started=starts_at) for old in leaving)
-    cold_ids = frozenset(backend.id for backend in cold)
-    removed_ids = frozenset(backend.id for backend in leaving) - cold_ids
-    return Replacement(starts_at, initial, cold, cold_ids, removed_ids)
+    cold_backends = tuple(Backend(old.id + suffix, started=starts_at) for old in replaced_backends)
+    cold_ids = frozenset(backend.id for backend in cold_backends)
+    removed_ids = frozenset(backend.id for backend in replaced_backends) - cold_ids
+    return Replacement(starts_at, initial_backends, cold_backends, cold_ids, removed_ids)
 
 
 class BackendQueues:
-    """Each backend serves one request after another, a cold one more slowly."""
+    """The queues of all backends; each serves one request after another, a cold one more slowly."""
 
     def __init__(self, job: ColdStarts, replacement: Replacement, rng: random.Random) -> None:
         self._job = job
         self._replacement = replacement
         self._rng = rng
-        self._free_at: dict[str, float] = {}  # when each backend has served what it holds
+        self._free_at: dict[str, float] = {}  # by backend: when all its accepted requests are served
 
-    def serve(self, backend: str, now: float) -> float:
-        """Takes a request in; the seconds until the backend has served it."""
+    def queue_request(self, backend_id: str, now: float) -> float:
+        """Queue a request at a backend; return the seconds until it is served."""
         age = now - self._replacement.starts_at
-        is_cold = age >= 0 and backend in self._replacement.cold_ids
-        share = self._job.share(age) if is_cold else 1.0
-        begins = max(now, self._free_at.get(backend, 0.0))
-        self._free_at[backend] = begins + self._rng.expovariate(self._job.capacity * share)
-        return self._free_at[backend] - now
+        is_cold = age >= 0 and backend_id in self._replacement.cold_ids
+        capacity_share = self._job.calculate_capacity_share(age) if is_cold else 1.0
+        begins_at = max(now, self._free_at.get(backend_id, 0.0))
+        self._free_at[backend_id] = begins_at + self._rng.expovariate(self._job.capacity * capacity_share)
+        return self._free_at[backend_id] - now
--- a/scale/cold/settings.py
+++ b/scale/cold/settings.py
@@ -1,21 +1,21 @@
-"""The settings of the ingresses of a fleet with cold starts."""
+"""The settings of the ingresses in a simulation of cold starts."""
 
 from __future__ import annotations
 
 from ingress.interface import Plan, RequestClass, Settings
 from scale.cold.job import ColdStarts
 
-AIM_S = 1.0
+LATENCY_OBJECTIVE_S = 1.0
 DEADLINE_S = 4.0
-CLASS = "read"
-PLAN = "open"
+CLASS_NAME = "read"
+PLAN_NAME = "open"
 
 
-def ingress_settings(job: ColdStarts, number: int) -> Settings:
-    """The settings of one ingress: no quotas, so that the slow start alone decides."""
+def build_settings(job: ColdStarts, number: int) -> Settings:
+    """Return the settings of one ingress, without quotas: only the slow start limits the load."""
     return Settings(
-        classes=(RequestClass(CLASS, AIM_S, DEADLINE_S),),
-        plans=(Plan(PLAN),),
+        classes=(RequestClass(CLASS_NAME, LATENCY_OBJECTIVE_S, DEADLINE_S),),
+        plans=(Plan(PLAN_NAME),),
         instance_index=number,
         instance_count=job.ingresses,
         drain_grace=1.0,
--- a/scale/cold/table.py
+++ b/scale/cold/table.py
@@ -1,4 +1,4 @@
-"""What a point of `scale cold` says, as a row of text: for the terminal and for the page."""
+"""The table of the results of `scale cold`, for the terminal and for the report page."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def row(point: Point) -> list[str]:
-    """One text for each column of HEAD."""
+    """Return the cells of the row of a point, one for each column."""
     sizes = point.sizes
     measures = point.measures
     return [
--- a/scale/cold/windows.py
+++ b/scale/cold/windows.py
@@ -1,4 +1,4 @@
-"""What cold backends got in each window of time, beside their budget."""
+"""The requests that cold backends got in each window of time, compared with their budget."""
 
 from __future__ import annotations
 
@@ -12,37 +12,52 @@
 
 @dataclass(frozen=True, slots=True)
 class Usage:
-    """The windows of all cold backends; one begins with each request that came while a backend was cold."""
-
-    windows: int
-    most: float  # requests in a window over its budget, at most
-    mean: float  # the same on the mean
-    beyond_budget: int  # windows with more requests than their budget
-    beyond_chance: int  # windows with more than is put down to chance
+    """How much of their budget the windows of all cold backends used.
 
+    A window begins with each request to a cold backend; those that end after it is warm are left out.
+    """
 
-def chance_limit(budget: float) -> float:
-    """Requests in a window beyond which a backend falls: the budget and twice the spread of chance."""
+    windows: int
+    """The number of windows."""
+    most: float
+    """The highest ratio of the requests in a window to its budget."""
+    mean: float
+    """The mean of these ratios."""
+    beyond_budget: int
+    """Windows with more requests than their budget."""
+    beyond_chance: int
+    """Windows with more requests than random variation around the budget explains."""
+
+
+def calculate_chance_limit(budget: float) -> float:
+    """Return the most requests in a window that random variation around its budget explains.
+
+    The square root of the budget is the standard deviation of a Poisson distribution with that mean; the
+    limit is two standard deviations and 2 requests above the budget.
+    """
     return budget + 2 * sqrt(budget) + 2
 
 
-def window_budget(job: ColdStarts, age: float) -> float:
-    """Requests that a backend can serve in the window that begins at an age (s)."""
-    return job.fall_factor * job.capacity * job.share(age) * job.fall_s
+def calculate_window_budget(job: ColdStarts, age: float) -> float:
+    """Return the requests that do not overload a backend in the window that begins at its age (s)."""
+    return job.fall_factor * job.capacity * job.calculate_capacity_share(age) * job.fall_s
 
 
 def usage(job: ColdStarts, arrivals: Sequence[Sequence[float]]) -> Usage:
-    """Usage by the ages (s, ascending) at which requests came to each cold backend."""
-    shares: list[float] = []
+    """Return the usage of all windows.
+
+    `arrivals` holds, for each cold backend, its ages (s, ascending) at which requests came.
+    """
+    ratios: list[float] = []
     beyond_budget = beyond_chance = 0
     for ages in arrivals:
-        for first, age in enumerate(ages):
+        for first_index, age in enumerate(ages):
             if age + job.fall_s > job.cold_s:
                 break
-            count = bisect_left(ages, age + job.fall_s) - first
-            budget = window_budget(job, age)
-            shares.append(count / budget)
-            beyond_budget += count > budget
-            beyond_chance += count > chance_limit(budget)
-    mean = sum(shares) / len(shares) if shares else 0.0
-    return Usage(len(shares), max(shares, default=0.0), mean, beyond_budget, beyond_chance)
+            request_count = bisect_left(ages, age + job.fall_s) - first_index
+            budget = calculate_window_budget(job, age)
+            ratios.append(request_count / budget)
+            beyond_budget += request_count > budget
+            beyond_chance += request_count > calculate_chance_limit(budget)
+    mean = sum(ratios) / len(ratios) if ratios else 0.0
+    return Usage(len(ratios), max(ratios, default=0.0), mean, beyond_budget, beyond_chance)
