--- a/scale/slopes/__init__.py
+++ b/scale/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Sweeps: the decision module alone, measured in child processes at many sizes."""
+"""Sweeps: measures the decision module at many sizes of a fleet, in child processes."""
--- a/scale/slopes/job.py
+++ b/scale/slopes/job.py
@@ -1,4 +1,4 @@
-"""The job of a measuring child and its answer: one JSON object each."""
+"""The job of a measuring child process and its measurement, which are passed as one JSON object each."""
 
 from __future__ import annotations
 
@@ -6,51 +6,60 @@
 
 from pydantic import BaseModel, ConfigDict, Field
 
-SPREAD = 3  # ingresses that a tenant's requests are shared out among
+SPREAD = 3  # number of ingresses that serve one tenant
 
 
 class Sizes(BaseModel):
-    """The size of a fleet, as one of its ingresses serves it."""
+    """The sizes of a fleet and the rates at one of its ingresses."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
     backends: int = Field(ge=1)
     ingresses: int = Field(ge=1)
-    tenants: int = Field(ge=1)  # of the whole fleet
+    tenants: int = Field(ge=1)
+    """The tenants of the whole fleet."""
     services: int = Field(ge=1)
-    changes_per_s: float = Field(gt=0)  # of the list of backends
-    requests_per_s: float = Field(gt=0)  # at one ingress
+    """The request classes in the settings; the decision module knows services in no other form yet."""
+    changes_per_s: float = Field(gt=0)
+    """The rate of changes of the endpoint list."""
+    requests_per_s: float = Field(gt=0)
+    """The rate of requests at one ingress."""
 
     @property
     def spread(self) -> int:
-        """The ingresses that serve one tenant."""
+        """The number of ingresses that serve one tenant."""
         return min(SPREAD, self.ingresses)
 
     @property
-    def first(self) -> int:
-        """The number of the first ingress that is simulated; its tenants use it and those after it."""
+    def first_ingress(self) -> int:
+        """The number of the first simulated ingress; it and the ones after it serve the simulated tenants."""
         return (self.ingresses - self.spread) // 2
 
     @property
     def tenants_here(self) -> int:
-        """The tenants that one ingress serves."""
+        """The number of tenants that one ingress serves."""
         return max(1, round(self.tenants * self.spread / self.ingresses))
 
 
 class CounterModel(BaseModel):
-    """How the counter answers: its capacity, its latency, and when it rejects calls."""
+    """The capacity and the latency of the counter, and when it rejects calls."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
-    calls_per_request: float = Field(default=0.76, gt=0)  # served, for each request of the fleet
-    parts: int = Field(default=3, ge=1)  # that share the names among them
-    latency_s: float = Field(default=0.003, gt=0)  # without a queue
-    jitter_s: float = Field(default=0.001, gt=0)  # mean of an exponential addition
-    max_queue_s: float = Field(default=0.2, gt=0)  # of work; calls beyond it are rejected
+    calls_per_request: float = Field(default=0.76, gt=0)
+    """The capacity: calls that the counter can serve for each request of the fleet."""
+    parts: int = Field(default=3, ge=1)
+    """The number of parts over which the names are distributed."""
+    latency_s: float = Field(default=0.003, gt=0)
+    """The latency of a call without a queue and without jitter."""
+    jitter_s: float = Field(default=0.001, gt=0)
+    """The mean of an exponentially distributed addition to the latency."""
+    max_queue_s: float = Field(default=0.2, gt=0)
+    """The most work that a part may have in its queue, in seconds; calls beyond it are rejected."""
 
 
 class Pass(Enum):
-    """What a child measures.  Each pass has a process of its own, so that none disturbs another."""
+    """What a child measures; each pass has its own process, so that none affects another."""
 
     TIMES = "times"
     OPERATIONS = "operations"
@@ -59,7 +68,7 @@
 
 
 class Job(BaseModel):
-    """One pass at one combination of sizes."""
+    """One pass to run at one combination of sizes."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
@@ -68,13 +77,16 @@
     counter: CounterModel = CounterModel()
     seed: int = 1
     cpu_budget_s: float = Field(default=4.0, gt=0)
-    # Enough for the limits of the backends in use to grow to what they are sent.
+    """The CPU time of the `times` pass, of which the limits of its phases are multiples."""
     warm_up_requests: int = Field(default=400, ge=1)
-    operation_samples: int = Field(default=100, ge=1)  # requests whose calls are counted, at most
-    measured_s: float = Field(default=6.0, gt=0)  # simulated, at most
+    """Requests before the measurement; enough for the limits of the backends in use to grow to their load."""
+    operation_samples: int = Field(default=100, ge=1)
+    """The most requests whose function calls are counted."""
+    measured_s: float = Field(default=6.0, gt=0)
+    """The most simulated time that the `times` pass measures requests for."""
 
 
 class Measurement(BaseModel):
-    """What a pass measured, by the names that results use."""
+    """The measures of a pass, by their names in results."""
 
     measures: dict[str, float]
--- a/scale/slopes/ledger.py
+++ b/scale/slopes/ledger.py
@@ -1,4 +1,4 @@
-"""What the events of a simulation cost, by request, by change and for control."""
+"""The costs of a simulation's events: by request, by change of the endpoint list, and for control."""
 
 from __future__ import annotations
 
@@ -20,108 +20,126 @@
 class OpenRequest:
     """A request that has no final answer yet."""
 
-    arrived_at: float  # s on the simulated clock
-    is_measured: bool  # it arrived while measuring was on
-    cost: int = 0  # of its events so far, in the unit of the meter
-    attempts: int = 0  # sent so far
-    awaits_counter: bool = False  # it was neither sent nor rejected on arrival: the counter was asked first
+    arrived_at: float
+    """When it arrived, in seconds on the simulated clock."""
+    is_measured: bool
+    """Whether it arrived while measuring was on."""
+    cost: int = 0
+    """The cost of its events so far, in the unit of the meter."""
+    attempt_count: int = 0
+    """Attempts sent so far."""
+    awaits_counter: bool = False
+    """Whether it was neither sent nor rejected on arrival: the counter was asked first."""
 
 
 @dataclass(slots=True)
-class Account:
-    """What happened while measuring was on; costs are in the unit of the meter."""
+class Statistics:
+    """What was recorded while measuring was on; costs are in the unit of the meter."""
 
-    request_costs: list[int] = field(default_factory=list)  # of served requests, their answers included
+    request_costs: list[int] = field(default_factory=list)
+    """The cost of each served request, including its answer."""
     change_costs: list[int] = field(default_factory=list)
-    control_cost: int = 0  # of timers and of the counter's replies
-    waits_s: list[float] = field(default_factory=list)  # of requests that waited for the counter
-    requests: int = 0
-    refused: int = 0
-    failed: int = 0
-    counter_calls: int = 0
-    counter_unanswered: int = 0
+    """The cost of each change of the endpoint list."""
+    control_cost: int = 0
+    """The cost of all timers and counter replies."""
+    counter_waits_s: list[float] = field(default_factory=list)
+    """How long each request that waited for the counter did so, in seconds."""
+    request_count: int = 0
+    rejected_count: int = 0
+    failed_count: int = 0
+    counter_call_count: int = 0
+    unanswered_call_count: int = 0
+    """Calls to the counter that were rejected or timed out."""
     counter_bytes: int = 0
+    """Bytes of the calls to the counter and of its replies."""
 
 
 class Ledger:
-    """Keeps the requests that are open, and the account of those that arrived while measuring was on."""
+    """Keeps the open requests, and the statistics of what happened while measuring was on."""
 
     def __init__(self) -> None:
-        self.account = Account()
+        self.statistics = Statistics()
         self.is_measuring = False
-        self.arrived = 0  # requests so far
-        self.open: dict[str, OpenRequest] = {}  # by id
-        self._request_of_call: dict[int, str] = {}  # the request that a call to the counter was made for
-
-    def request_arrived(self, request: Request, now: float) -> None:
-        """Opens a request."""
-        self.open[request.id] = OpenRequest(now, self.is_measuring)
-        self.account.requests += self.is_measuring
-        self.arrived += 1
-
-    def charge(self, event: Event, cost: int) -> None:
-        """Adds the cost to the request that the event belongs to, or else to control."""
+        self.arrival_count = 0  # all requests so far
+        self.open_requests: dict[str, OpenRequest] = {}  # by id
+        # By the name of a count: the id of the request that caused the call that is in flight for it.
+        self._request_by_count: dict[int, str] = {}
+
+    def open_request(self, request: Request, now: float) -> None:
+        """Add a request that has just arrived."""
+        self.open_requests[request.id] = OpenRequest(now, self.is_measuring)
+        self.statistics.request_count += self.is_measuring
+        self.arrival_count += 1
+
+    def charge_cost(self, event: Event, cost: int) -> None:
+        """Add the cost of an event to its request, and to the costs of changes or of control.
+
+        The cost of a counter reply is added both to the request that caused the call and to control.
+        """
         match event:
             case Request(id=request_id) | AttemptEnded(id=request_id):
-                if request := self.open.get(request_id):
+                if request := self.open_requests.get(request_id):
                     request.cost += cost
-            case CounterReply(name=name):
-                request = self.open.get(self._request_of_call.pop(name, ""))
+            case CounterReply(name=count_name):
+                request = self.open_requests.get(self._request_by_count.pop(count_name, ""))
                 if request is not None:
                     request.cost += cost
-                self.account.control_cost += cost * self.is_measuring
+                self.statistics.control_cost += cost * self.is_measuring
             case EndpointUpdate() if self.is_measuring:
-                self.account.change_costs.append(cost)
+                self.statistics.change_costs.append(cost)
             case TimerFired() if self.is_measuring:
-                self.account.control_cost += cost
+                self.statistics.control_cost += cost
 
-    def request_handled(self, request_id: str) -> None:
-        """The arrival was handled: a request that is open and was not sent waits for the counter."""
-        request = self.open.get(request_id)
-        if request is not None and not request.attempts:
+    def finish_arrival(self, request_id: str) -> None:
+        """Record that the arrival of a request was handled.
+
+        If the request is open and no attempt was sent, it waits for the counter.
+        """
+        request = self.open_requests.get(request_id)
+        if request is not None and not request.attempt_count:
             request.awaits_counter = True
 
-    def attempt_sent(self, request_id: str, now: float) -> int:
-        """Counts an attempt; its number."""
-        request = self.open[request_id]
-        if not request.attempts:
-            self._note_decision(request, now)
-        request.attempts += 1
-        return request.attempts - 1
-
-    def served(self, request_id: str) -> None:
-        """The last attempt of a request has brought its answer."""
-        request = self.open.pop(request_id, None)
+    def record_attempt(self, request_id: str, now: float) -> int:
+        """Count an attempt of a request, and return its number."""
+        request = self.open_requests[request_id]
+        if not request.attempt_count:
+            self._record_counter_wait(request, now)
+        request.attempt_count += 1
+        return request.attempt_count - 1
+
+    def record_served(self, request_id: str) -> None:
+        """Close a request that a backend has served."""
+        request = self.open_requests.pop(request_id, None)
         if request is not None and request.is_measured:
-            self.account.request_costs.append(request.cost)
+            self.statistics.request_costs.append(request.cost)
 
-    def rejected(self, request_id: str, now: float) -> None:
-        """The module has rejected a request."""
+    def record_rejection(self, request_id: str, now: float) -> None:
+        """Close a request that the decision module has rejected."""
         request = self._close_unserved(request_id, now)
-        self.account.refused += request.is_measured
+        self.statistics.rejected_count += request.is_measured
 
-    def failed(self, request_id: str, now: float) -> None:
-        """The module has given a request up."""
+    def record_failure(self, request_id: str, now: float) -> None:
+        """Close a request that the decision module has failed."""
         request = self._close_unserved(request_id, now)
-        self.account.failed += request.is_measured
+        self.statistics.failed_count += request.is_measured
 
-    def counter_called(self, call: IncrementCounter, cause: Event, reply: CounterReply) -> None:
-        """Counts a call to the counter, with the reply that is on its way."""
+    def record_counter_call(self, call: IncrementCounter, cause: Event, reply: CounterReply) -> None:
+        """Count a call to the counter, made because of the event `cause`, and its reply."""
         if isinstance(cause, Request):
-            self._request_of_call[call.name] = cause.id
+            self._request_by_count[call.name] = cause.id
         if self.is_measuring:
-            self.account.counter_calls += 1
-            self.account.counter_unanswered += reply.outcome is not Outcome.OK
-            line = f"add {call.name} {call.add:.6g} {round(call.lifetime * 1000)}\r\n"
-            self.account.counter_bytes += len(line) + len(f"ok {reply.total:.7g}\r\n")
+            self.statistics.counter_call_count += 1
+            self.statistics.unanswered_call_count += reply.outcome is not Outcome.OK
+            call_line = f"add {call.name} {call.add:.6g} {round(call.lifetime * 1000)}\r\n"
+            self.statistics.counter_bytes += len(call_line) + len(f"ok {reply.total:.7g}\r\n")
 
     def _close_unserved(self, request_id: str, now: float) -> OpenRequest:
-        request = self.open.pop(request_id)
-        if not request.attempts:
-            self._note_decision(request, now)
+        request = self.open_requests.pop(request_id)
+        if not request.attempt_count:
+            self._record_counter_wait(request, now)
         return request
 
-    def _note_decision(self, request: OpenRequest, now: float) -> None:
-        """The first attempt or the rejection: what waited for the counter until then is noted."""
+    def _record_counter_wait(self, request: OpenRequest, now: float) -> None:
+        """Record how long a request waited for the counter until its first attempt or final answer."""
         if request.is_measured and request.awaits_counter:
-            self.account.waits_s.append(now - request.arrived_at)
+            self.statistics.counter_waits_s.append(now - request.arrived_at)
--- a/scale/slopes/listing.py
+++ b/scale/slopes/listing.py
@@ -1,4 +1,4 @@
-"""The list of backends as the agent sends it, its changes, and the reader of the version measured."""
+"""The list of backends as the agent sends it, its changes, and the decoder of the measured version."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 BACKENDS_PER_CELL = 3
 FIRST_VERSION = 1
 KINDS = ("standard", "large")
-EMPTY_ANSWER: Entry = {"version": 0, "full": False, "servers": []}
+EMPTY_LIST: Entry = {"version": 0, "full": False, "servers": []}
 
 
 def build_entry(number: int) -> Entry:
-    """The list's entry of one backend."""
+    """Return the entry of one backend in the list."""
     return {
         "id": f"s-{number * 0x9E3779B1 & 0xFFFFFFFF:08x}",
         "addr": f"10.{number >> 16 & 255}.{number >> 8 & 255}.{number & 255}:6379",
@@ -32,13 +32,14 @@
     }
 
 
-def encode(version: int, full: bool, entries: list[Entry]) -> bytes:
-    """An answer of the agent."""
-    answer = {"version": version, "full": full, "servers": entries}
+def encode_answer(version: int, is_full: bool, entries: list[Entry]) -> bytes:
+    """Return an answer of the agent, which holds the complete list or changed entries."""
+    answer = {"version": version, "full": is_full, "servers": entries}
     return json.dumps(answer, separators=(",", ":")).encode()
 
 
-def _read_without_reader(body: bytes) -> tuple[Backend, ...]:
+def _decode_without_parser(body: bytes) -> tuple[Backend, ...]:
+    """Decode an answer without the code of the measured version."""
     rows = json.loads(body)["servers"]
     return tuple(
         Backend(
@@ -54,60 +55,66 @@
     )
 
 
-def _read_bytes(body: bytes) -> tuple[Backend, ...]:
+def _decode_from_bytes(body: bytes) -> tuple[Backend, ...]:
     return endpoint_list.parse_endpoint_list(body).backends
 
 
-def _read_parsed(body: bytes) -> tuple[Backend, ...]:
+def _decode_from_json(body: bytes) -> tuple[Backend, ...]:
     return endpoint_list.parse_endpoint_list(json.loads(body)).backends
 
 
-def find_reader() -> Callable[[bytes], tuple[Backend, ...]]:
-    """How the version measured reads an answer: from its bytes, or from the JSON's parsed form."""
+def find_decoder() -> Callable[[bytes], tuple[Backend, ...]]:
+    """Return the function that decodes answers, with the code of the measured version where it can.
+
+    `parse_endpoint_list` takes bytes in some versions and decoded JSON in others; some versions lack it.
+    """
     if not hasattr(endpoint_list, "parse_endpoint_list"):
-        return _read_without_reader
+        return _decode_without_parser
     try:
-        _read_bytes(json.dumps(EMPTY_ANSWER).encode())
+        _decode_from_bytes(json.dumps(EMPTY_LIST).encode())
     except (TypeError, ValueError, AttributeError):
-        return _read_parsed
-    return _read_bytes
+        return _decode_from_json
+    return _decode_from_bytes
 
 
 class BackendList:
-    """The list, and a seeded series of changes of one entry each that keeps its length about the same."""
+    """The list of backends, and a seeded series of changes of one entry each that nearly keeps its length."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.entries = [build_entry(number) for number in range(count)]
         self.version = FIRST_VERSION
-        self._count = count
-        self._made = 0
+        self._initial_count = count
+        self._change_count = 0
         self._rng = random.Random(seed)
-        self._draining: list[Entry] = []
+        self._draining_entries: list[Entry] = []
+
+    def encode_full_list(self) -> bytes:
+        """Return the answer with the complete list."""
+        return encode_answer(self.version, True, self.entries)
 
-    def whole(self) -> bytes:
-        """The answer with the whole list."""
-        return encode(self.version, True, self.entries)
+    def encode_next_change(self, now: float) -> bytes:
+        """Make the next change, and return the answer with it.
 
-    def change(self, now: float) -> bytes:
-        """The answer with the next change: one backend is added, drains, is removed or is restarted."""
-        step = self._made % 4
-        self._made += 1
+        In turn, a backend is added, begins to drain, is removed, and is restarted.
+        """
+        step = self._change_count % 4
+        self._change_count += 1
         self.version += 1
         if step == 0:
-            entry = build_entry(self._count + self._made)
+            entry = build_entry(self._initial_count + self._change_count)
             self.entries.append(entry)
         elif step == 1:
-            entry = self._replace(state="draining")
-            self._draining.append(entry)
+            entry = self._change_random_entry(state="draining")
+            self._draining_entries.append(entry)
         elif step == 2:
-            entry = self._remove(self._draining.pop())
+            entry = self._remove(self._draining_entries.pop())
         else:
-            entry = self._replace(started_ms=int(now * 1000))
-        return encode(self.version, False, [entry])
+            entry = self._change_random_entry(started_ms=int(now * 1000))
+        return encode_answer(self.version, False, [entry])
 
-    def _replace(self, **changes: object) -> Entry:
-        at = self._rng.randrange(len(self.entries))
-        entry = self.entries[at] = self.entries[at] | changes
+    def _change_random_entry(self, **changes: object) -> Entry:
+        index = self._rng.randrange(len(self.entries))
+        entry = self.entries[index] = self.entries[index] | changes
         return entry
 
     def _remove(self, entry: Entry) -> Entry:
--- a/scale/slopes/measure.py
+++ b/scale/slopes/measure.py
@@ -1,4 +1,4 @@
-"""The measuring child: a job as JSON on standard input, its measurement as JSON on standard output."""
+"""The measuring child process: reads a job from standard input, writes its measurement to standard output."""
 
 from __future__ import annotations
 
@@ -21,7 +21,7 @@
 
 
 def main() -> None:
-    """Runs the job's pass."""
+    """Run the pass of the job and print its measurement as JSON."""
     logging.basicConfig(level=logging.ERROR, stream=sys.stderr)
     job = Job.model_validate_json(sys.stdin.read())
     print(PASSES[job.measuring](job).model_dump_json())
--- a/scale/slopes/meters.py
+++ b/scale/slopes/meters.py
@@ -1,4 +1,4 @@
-"""Meters around the decision module's `handle`: what each call cost, in CPU time or in operations."""
+"""Meters of the decision module: they measure what it costs to handle an event, in CPU time or in calls."""
 
 from __future__ import annotations
 
@@ -12,55 +12,56 @@
 
 
 class Meter(Protocol):
-    """Hands events to a gateway; `last` is the cost of the latest one."""
+    """Hands events to a gateway and measures their cost."""
 
-    last: int
+    last_cost: int
+    """The cost of the last event."""
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Handles an event and measures what it cost."""
+        """Handle an event and measure its cost."""
         ...
 
 
 class CpuMeter:
-    """CPU time of this thread, in nanoseconds."""
+    """Measures the CPU time of this thread, in nanoseconds."""
 
     def __init__(self, gateway: Gateway) -> None:
-        self.last = 0
+        self.last_cost = 0
         self._gateway = gateway
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Handles an event and measures what it cost."""
-        before = time.thread_time_ns()
+        """Handle an event and measure its cost."""
+        started_at = time.thread_time_ns()
         actions = list(self._gateway.handle(now, event))
-        self.last = time.thread_time_ns() - before
+        self.last_cost = time.thread_time_ns() - started_at
         return actions
 
 
 class CallMeter:
-    """The number of calls of functions, those written in Python and those built in.
+    """Counts function calls, both of functions written in Python and of built-in ones.
 
-    The same text with the same events gives the same number, however busy the machine is.
+    The same source code and the same events give the same number, however busy the machine is.
     """
 
     def __init__(self, gateway: Gateway) -> None:
-        self.last = 0
+        self.last_cost = 0
         self.is_counting = False
         self._gateway = gateway
-        self._count = 0
+        self._call_count = 0
 
     def handle(self, now: float, event: Event) -> list[Action]:
-        """Handles an event and, while `is_counting`, counts the function calls in it."""
+        """Handle an event and count its function calls, if `is_counting` is set."""
         if not self.is_counting:
             return list(self._gateway.handle(now, event))
-        self._count = 0
-        sys.setprofile(self._note)
+        self._call_count = 0
+        sys.setprofile(self._count_call)
         try:
             actions = self._gateway.handle(now, event)
         finally:
             sys.setprofile(None)
-        self.last = self._count
+        self.last_cost = self._call_count
         return list(actions)
 
-    def _note(self, frame: FrameType, kind: str, argument: object) -> None:
+    def _count_call(self, frame: FrameType, kind: str, argument: object) -> None:
         if kind in ("call", "c_call"):
-            self._count += 1
+            self._call_count += 1
--- a/scale/slopes/passes/common.py
+++ b/scale/slopes/passes/common.py
@@ -1,4 +1,4 @@
-"""What several passes use: percentiles, the budget of CPU time, the warm-up."""
+"""Functions that several passes use: percentiles, limits on CPU time, and the warm-up."""
 
 from __future__ import annotations
 
@@ -14,39 +14,39 @@
 NANOSECONDS_PER_US = 1e3
 NANOSECONDS_PER_MS = 1e6
 MEBIBYTE = 2**20  # bytes
-MIN_SAMPLES = 5
-MAX_COST_NS = 10**12  # of the histogram
-DIGITS = 3  # significant, of the histogram
+MIN_SAMPLES = 5  # requests or changes that are measured even after the CPU budget is used up
+MAX_COST_NS = 10**12  # upper limit of the histogram
+SIGNIFICANT_DIGITS = 3  # resolution of the histogram
 
 
-def percentile(costs: list[int], share: float) -> float:
-    """A percentile of costs in nanoseconds."""
-    histogram = HdrHistogram(1, MAX_COST_NS, DIGITS)
+def calculate_percentile(costs: list[int], percentile: float) -> float:
+    """Return a percentile (0 to 100) of costs in nanoseconds."""
+    histogram = HdrHistogram(1, MAX_COST_NS, SIGNIFICANT_DIGITS)
     for cost in costs:
         histogram.record_value(max(1, cost))
-    return float(histogram.get_value_at_percentile(share))
+    return float(histogram.get_value_at_percentile(percentile))
 
 
-def cpu_ms(action: Callable[[], object]) -> float:
-    """The CPU time of an action, in milliseconds."""
-    before = time.process_time_ns()
+def measure_cpu_ms(action: Callable[[], object]) -> float:
+    """Call `action`, and return the CPU time that it took, in milliseconds."""
+    started_at = time.process_time_ns()
     action()
-    return (time.process_time_ns() - before) / NANOSECONDS_PER_MS
+    return (time.process_time_ns() - started_at) / NANOSECONDS_PER_MS
 
 
-class Budget:
-    """A limit on the CPU time of this process from now on."""
+class CpuBudget:
+    """A limit on the CPU time that this process uses from now on."""
 
     def __init__(self, seconds: float) -> None:
-        self._end = time.process_time() + seconds
+        self._ends_at = time.process_time() + seconds
 
-    def over(self) -> bool:
-        """Whether the time is used up."""
-        return time.process_time() >= self._end
+    def is_exhausted(self) -> bool:
+        """Return whether the CPU time is used up."""
+        return time.process_time() >= self._ends_at
 
 
-def warm_up(simulation: Simulation, requests: int, enough: Callable[[], bool] = lambda: False) -> int:
-    """Plays so many requests, or fewer if `enough`; how many they were."""
-    before = simulation.ledger.arrived
-    simulation.run(lambda: simulation.ledger.arrived - before >= requests or enough())
-    return simulation.ledger.arrived - before
+def warm_up(simulation: Simulation, requests: int, should_stop: Callable[[], bool] = lambda: False) -> int:
+    """Simulate `requests` arrivals, or fewer if `should_stop` returns true; return how many there were."""
+    count_before = simulation.ledger.arrival_count
+    simulation.run(lambda: simulation.ledger.arrival_count - count_before >= requests or should_stop())
+    return simulation.ledger.arrival_count - count_before
--- a/scale/slopes/passes/counter.py
+++ b/scale/slopes/passes/counter.py
@@ -1,4 +1,4 @@
-"""The calls to the counter and the waits for it, over a time in which buckets run low."""
+"""The `counter` pass: measures the calls to the counter and the waits for its replies."""
 
 from __future__ import annotations
 
@@ -7,68 +7,69 @@
 from ingress.interface import EndpointUpdateKind
 from scale.slopes.counter import CounterStandIn
 from scale.slopes.job import Job, Measurement
-from scale.slopes.ledger import Account
+from scale.slopes.ledger import Statistics
 from scale.slopes.meters import CpuMeter
 from scale.slopes.passes.common import Measures
 from scale.slopes.simulation import Simulation
-from scale.slopes.world import START, World
+from scale.slopes.world import START_TIME_S, World
 
-BACKENDS = 60  # few: the calls don't depend on them, and time passes sooner
-WARM_UP_S = 8.0  # simulated
-MEASURED_S = 12.0  # simulated
-TURN_S = 0.001  # simulated
+BACKENDS = 60  # few, since they do not affect the calls and slow down the simulation
+WARM_UP_S = 8.0  # in simulated time
+MEASURED_S = 12.0  # in simulated time
+STEP_S = 0.001  # in simulated time; shorter than a reply of the counter takes
 
 
 def measure_counter(job: Job) -> Measurement:
-    """The calls to the counter and the waits for it, over a time in which buckets run low.
+    """Measure the calls to the counter and the waits for its replies.
 
+    The measurement is long enough for the token buckets of tenants to run low.
     All ingresses that serve the tenants are simulated, each with its own decision module: what one of them
-    adds to a count changes the answers to the others.
+    adds to a count changes the replies that the others get.
     """
-    counter = World(job, BACKENDS).counter(job.sizes.spread)
-    siblings = [_begin_sibling(job, number, counter) for number in range(job.sizes.spread)]
-    warm_at = START + WARM_UP_S
-    _run_side_by_side(siblings, START, warm_at)
+    counter = World(job, BACKENDS).create_counter(job.sizes.spread)
+    siblings = [_start_sibling(job, number, counter) for number in range(job.sizes.spread)]
+    warmed_up_at = START_TIME_S + WARM_UP_S
+    _run_in_lockstep(siblings, START_TIME_S, warmed_up_at)
     for simulation in siblings:
         simulation.ledger.is_measuring = True
-    _run_side_by_side(siblings, warm_at, warm_at + MEASURED_S)
+    _run_in_lockstep(siblings, warmed_up_at, warmed_up_at + MEASURED_S)
     for simulation in siblings:
         simulation.ledger.is_measuring = False
         simulation.drain()
     return Measurement(
-        measures=_counter_measures(job, [simulation.ledger.account for simulation in siblings])
+        measures=_calculate_measures(job, [simulation.ledger.statistics for simulation in siblings])
     )
 
 
-def _begin_sibling(job: Job, number: int, counter: CounterStandIn) -> Simulation:
+def _start_sibling(job: Job, number: int, counter: CounterStandIn) -> Simulation:
     world = World(job, BACKENDS, number)
-    simulation = world.simulation(CpuMeter(world.gateway()), counter)
-    simulation.feed(world.whole_list(EndpointUpdateKind.RESTORED))
-    world.begin_requests(simulation)
+    simulation = world.create_simulation(CpuMeter(world.create_gateway()), counter)
+    simulation.feed(world.build_full_update(EndpointUpdateKind.RESTORED))
+    world.start_requests(simulation)
     return simulation
 
 
-def _run_side_by_side(siblings: list[Simulation], start: float, end: float) -> None:
-    """Plays the simulations in short turns, shorter than the counter takes to answer."""
-    for step in range(1, round((end - start) / TURN_S) + 1):
+def _run_in_lockstep(siblings: list[Simulation], start: float, end: float) -> None:
+    """Run the simulations in turn, one short step of simulated time after another."""
+    for step in range(1, round((end - start) / STEP_S) + 1):
         for simulation in siblings:
-            simulation.run_until(start + step * TURN_S)
+            simulation.run_until(start + step * STEP_S)
 
 
-def _counter_measures(job: Job, accounts: list[Account]) -> Measures:
-    span = MEASURED_S * len(accounts)
-    requests = sum(account.requests for account in accounts)
-    calls = sum(account.counter_calls for account in accounts)
-    unanswered = sum(account.counter_unanswered for account in accounts)
-    waits_ms = [1000 * wait for account in accounts for wait in account.waits_s]
+def _calculate_measures(job: Job, statistics: list[Statistics]) -> Measures:
+    measured_s = MEASURED_S * len(statistics)
+    requests = sum(each.request_count for each in statistics)
+    calls = sum(each.counter_call_count for each in statistics)
+    unanswered = sum(each.unanswered_call_count for each in statistics)
+    waits_ms = [1000 * wait for each in statistics for wait in each.counter_waits_s]
     return {
         "counter_calls_per_request": calls / requests,
-        "counter_calls_per_s_fleet": calls / span * job.sizes.ingresses,
+        "counter_calls_per_s_fleet": calls / measured_s * job.sizes.ingresses,
         "counter_wait_share": len(waits_ms) / requests,
         "counter_wait_p50_ms": float(np.percentile(waits_ms or [0.0], 50)),
         "counter_wait_p99_ms": float(np.percentile(waits_ms or [0.0], 99)),
         "counter_unanswered_share": unanswered / max(1, calls),
-        "counter_refused_share": sum(account.refused for account in accounts) / requests,
-        "counter_bytes_per_s": sum(account.counter_bytes for account in accounts) / span,
+        "counter_refused_share": sum(each.rejected_count for each in statistics) / requests,
+        "counter_bytes_per_s": sum(each.counter_bytes for each in statistics) / measured_s,
         "tenants_here": job.sizes.tenants_here,
     }
--- a/scale/slopes/passes/operations.py
+++ b/scale/slopes/passes/operations.py
@@ -1,4 +1,7 @@
-"""Calls of functions per request and per change: the same in each run of the same text."""
+"""The `operations` pass: counts the function calls of requests and changes.
+
+The counts are the same in each run of the same source code.
+"""
 
 from __future__ import annotations
 
@@ -13,56 +16,58 @@
 from scale.slopes.simulation import Simulation
 from scale.slopes.world import World
 
-MAX_WARM_UP_CALLS = 150_000_000  # function calls; reached at the largest sizes
-MAX_MEASURED_CALLS = 8_000_000  # function calls; reached at the largest sizes
-CHANGES = 8  # of the list, that are measured
+MAX_WARM_UP_CALLS = 150_000_000  # function calls of the warm-up; they limit it at the largest sizes
+MAX_MEASURED_CALLS = 8_000_000  # function calls of the samples; they limit these at the largest sizes
+MEASURED_CHANGES = 8
 
 
 def measure_operations(job: Job) -> Measurement:
-    """Calls of functions per request and per change: the same in each run of the same text."""
+    """Count the function calls of requests and of changes of the endpoint list."""
     world = World(job, job.sizes.backends)
-    meter = CallMeter(world.gateway())
-    simulation = world.simulation(meter)
-    simulation.feed(world.whole_list(EndpointUpdateKind.RESTORED))
-    world.begin_requests(simulation)
-    calls_of_one = _calls_of_one_request(simulation, meter)
-    warmed_up = warm_up(simulation, max(1, min(job.warm_up_requests, MAX_WARM_UP_CALLS // calls_of_one)))
-    samples = max(MIN_SAMPLES, min(job.operation_samples, MAX_MEASURED_CALLS // calls_of_one))
-    costs = _request_costs(simulation, meter, samples)
-    changes = _change_costs(world, simulation, meter)
+    meter = CallMeter(world.create_gateway())
+    simulation = world.create_simulation(meter)
+    simulation.feed(world.build_full_update(EndpointUpdateKind.RESTORED))
+    world.start_requests(simulation)
+    calls_per_request = _estimate_calls_per_request(simulation, meter)
+    warm_up_request_count = warm_up(
+        simulation, max(1, min(job.warm_up_requests, MAX_WARM_UP_CALLS // calls_per_request))
+    )
+    sample_count = max(MIN_SAMPLES, min(job.operation_samples, MAX_MEASURED_CALLS // calls_per_request))
+    request_costs = _measure_requests(simulation, meter, sample_count)
+    change_costs = _measure_changes(world, simulation, meter)
     return Measurement(
         measures={
-            "request_calls_p50": float(np.percentile(costs, 50)),
-            "request_calls_p99": float(np.percentile(costs, 99)),
-            "change_calls": median(changes),
-            "operation_warm_up_requests": warmed_up,
-            "operation_samples": len(costs),
+            "request_calls_p50": float(np.percentile(request_costs, 50)),
+            "request_calls_p99": float(np.percentile(request_costs, 99)),
+            "change_calls": median(change_costs),
+            "operation_warm_up_requests": warm_up_request_count,
+            "operation_samples": len(request_costs),
         }
     )
 
 
-def _calls_of_one_request(simulation: Simulation, meter: CallMeter) -> int:
-    """A first estimate, by which the number of requests is bounded."""
+def _estimate_calls_per_request(simulation: Simulation, meter: CallMeter) -> int:
+    """Count the calls of one request, as a first estimate that limits the number of requests."""
     meter.is_counting = True
     warm_up(simulation, 1)
     meter.is_counting = False
-    return max(1, meter.last)
+    return max(1, meter.last_cost)
 
 
-def _request_costs(simulation: Simulation, meter: CallMeter, samples: int) -> list[int]:
-    """Function calls of each request that was served; the meter goes on counting."""
-    account = simulation.ledger.account
+def _measure_requests(simulation: Simulation, meter: CallMeter, sample_count: int) -> list[int]:
+    """Return the function calls of each served request; the meter is left counting."""
+    statistics = simulation.ledger.statistics
     meter.is_counting = True
     simulation.ledger.is_measuring = True
-    simulation.run(lambda: account.requests >= samples)
+    simulation.run(lambda: statistics.request_count >= sample_count)
     simulation.ledger.is_measuring = False
     simulation.drain()
-    return account.request_costs
+    return statistics.request_costs
 
 
-def _change_costs(world: World, simulation: Simulation, meter: CallMeter) -> list[int]:
+def _measure_changes(world: World, simulation: Simulation, meter: CallMeter) -> list[int]:
     costs: list[int] = []
-    for _ in range(CHANGES):
-        simulation.feed(world.next_change(simulation.now))
-        costs.append(meter.last)
+    for _ in range(MEASURED_CHANGES):
+        simulation.feed(world.build_next_change(simulation.now))
+        costs.append(meter.last_cost)
     return costs
--- a/scale/slopes/passes/times.py
+++ b/scale/slopes/passes/times.py
@@ -1,4 +1,4 @@
-"""CPU time of requests, changes and whole lists, and the resident memory."""
+"""The `times` pass: measures the CPU time of requests, changes and complete lists, and resident memory."""
 
 from __future__ import annotations
 
@@ -15,35 +15,36 @@
     MIN_SAMPLES,
     NANOSECONDS_PER_MS,
     NANOSECONDS_PER_US,
-    Budget,
+    CpuBudget,
     Measures,
-    cpu_ms,
-    percentile,
+    calculate_percentile,
+    measure_cpu_ms,
     warm_up,
 )
 from scale.slopes.simulation import Simulation
 from scale.slopes.world import World
 
-WARM_UP_BUDGETS = 6.0  # times the CPU budget: the warm-up
-REQUESTS_SHARE = 0.7  # of the CPU budget: requests
-CHANGES_SHARE = 0.25  # of the CPU budget: list changes
-MAX_CHANGES = 40
+# Limits on the CPU time of the phases, as factors of the CPU budget of the job.
+WARM_UP_BUDGET_FACTOR = 6.0
+REQUESTS_BUDGET_FACTOR = 0.7
+CHANGES_BUDGET_FACTOR = 0.25
+MAX_MEASURED_CHANGES = 40
 
 
 def measure_times(job: Job) -> Measurement:
-    """CPU time of requests, changes and lists, and the resident memory, of a gateway under load."""
+    """Measure the CPU time and the resident memory of a gateway under load."""
     world = World(job, job.sizes.backends)
-    before = psutil.Process().memory_info().rss
-    measures: Measures = {"start_cpu_ms": cpu_ms(world.gateway)}
-    gateway = world.gateway()
+    rss_before = psutil.Process().memory_info().rss
+    measures: Measures = {"start_cpu_ms": measure_cpu_ms(world.create_gateway)}
+    gateway = world.create_gateway()
     meter = CpuMeter(gateway)
-    simulation = world.simulation(meter)
-    measures |= _read_and_apply(world, simulation, meter)
-    measures |= _play(world, simulation)
-    measures["resident_mb"] = (psutil.Process().memory_info().rss - before) / MEBIBYTE
-    measures |= _change(world, simulation)
-    simulation.feed(world.whole_list(EndpointUpdateKind.REPLACE))
-    measures["list_reapply_cpu_ms"] = meter.last / NANOSECONDS_PER_MS
+    simulation = world.create_simulation(meter)
+    measures |= _measure_full_list(world, simulation, meter)
+    measures |= _measure_requests(world, simulation)
+    measures["resident_mb"] = (psutil.Process().memory_info().rss - rss_before) / MEBIBYTE
+    measures |= _measure_changes(world, simulation)
+    simulation.feed(world.build_full_update(EndpointUpdateKind.REPLACE))
+    measures["list_reapply_cpu_ms"] = meter.last_cost / NANOSECONDS_PER_MS
     measures["control_cpu_share"] += (
         job.sizes.changes_per_s * (measures["change_cpu_us"] + measures["change_read_cpu_us"]) / 1e6
     )
@@ -51,64 +52,69 @@
     return Measurement(measures=measures)
 
 
-def _read_and_apply(world: World, simulation: Simulation, meter: CpuMeter) -> Measures:
-    """The whole list, read and handed to an empty gateway."""
-    body = world.list.whole()
-    read_ms = cpu_ms(lambda: world.read(body))
-    simulation.feed(world.whole_list(EndpointUpdateKind.RESTORED))
+def _measure_full_list(world: World, simulation: Simulation, meter: CpuMeter) -> Measures:
+    """Decode the complete list, and hand it to a gateway without a list."""
+    body = world.backend_list.encode_full_list()
+    decode_ms = measure_cpu_ms(lambda: world.decode(body))
+    simulation.feed(world.build_full_update(EndpointUpdateKind.RESTORED))
     return {
         "list_bytes": len(body),
-        "list_read_cpu_ms": read_ms,
-        "list_apply_cpu_ms": meter.last / NANOSECONDS_PER_MS,
+        "list_read_cpu_ms": decode_ms,
+        "list_apply_cpu_ms": meter.last_cost / NANOSECONDS_PER_MS,
     }
 
 
-def _play(world: World, simulation: Simulation) -> Measures:
-    """Requests and changes at the job's rates, for as long as the budget allows."""
+def _measure_requests(world: World, simulation: Simulation) -> Measures:
+    """Measure requests while changes arrive too, both at the rates of the job, within the CPU budget."""
     job = world.job
-    world.begin_requests(simulation)
-    simulation.begin_changes(world.next_change, job.sizes.changes_per_s)
-    budget = Budget(job.cpu_budget_s * WARM_UP_BUDGETS)
-    warmed_up = warm_up(simulation, job.warm_up_requests, budget.over)
+    world.start_requests(simulation)
+    simulation.start_changes(world.build_next_change, job.sizes.changes_per_s)
+    budget = CpuBudget(job.cpu_budget_s * WARM_UP_BUDGET_FACTOR)
+    warm_up_request_count = warm_up(simulation, job.warm_up_requests, budget.is_exhausted)
     simulation.ledger.is_measuring = True
-    budget = Budget(job.cpu_budget_s * REQUESTS_SHARE)
-    account = simulation.ledger.account
+    budget = CpuBudget(job.cpu_budget_s * REQUESTS_BUDGET_FACTOR)
+    statistics = simulation.ledger.statistics
     started_at = simulation.now
     ends_at = started_at + job.measured_s
-    simulation.run(lambda: account.requests >= MIN_SAMPLES and (simulation.now >= ends_at or budget.over()))
-    span = simulation.now - started_at
-    control = account.control_cost
+    simulation.run(
+        lambda: statistics.request_count >= MIN_SAMPLES
+        and (simulation.now >= ends_at or budget.is_exhausted())
+    )
+    measured_s = simulation.now - started_at
+    control_cost_ns = statistics.control_cost
     simulation.ledger.is_measuring = False
     simulation.drain()
-    costs = account.request_costs
+    request_costs = statistics.request_costs
     return {
-        "request_cpu_p50_us": percentile(costs, 50) / NANOSECONDS_PER_US,
-        "request_cpu_p99_us": percentile(costs, 99) / NANOSECONDS_PER_US,
-        "warm_up_requests": warmed_up,
-        "samples": len(costs),
-        "simulated_s": span,
-        "control_cpu_share": control / 1e9 / span,  # the changes' part is added once it is known
+        "request_cpu_p50_us": calculate_percentile(request_costs, 50) / NANOSECONDS_PER_US,
+        "request_cpu_p99_us": calculate_percentile(request_costs, 99) / NANOSECONDS_PER_US,
+        "warm_up_requests": warm_up_request_count,
+        "samples": len(request_costs),
+        "simulated_s": measured_s,
+        "control_cpu_share": control_cost_ns / 1e9 / measured_s,  # the share of changes is added later
     }
 
 
-def _change(world: World, simulation: Simulation) -> Measures:
-    """Changes of one entry, read and applied one after another."""
-    budget = Budget(world.job.cpu_budget_s * CHANGES_SHARE)
-    reads: list[float] = []
-    sizes: list[int] = []
-    costs: list[int] = []
-    while len(costs) < MIN_SAMPLES or (len(costs) < MAX_CHANGES and not budget.over()):
-        body = world.list.change(simulation.now)
-        sizes.append(len(body))
-        before = time.thread_time_ns()
-        backends = world.read(body)
-        reads.append(time.thread_time_ns() - before)
-        simulation.feed(EndpointUpdate(EndpointUpdateKind.UPDATE, backends, world.list.version))
-        costs.append(simulation.meter.last)
+def _measure_changes(world: World, simulation: Simulation) -> Measures:
+    """Measure changes of one entry, which are decoded and applied one after another."""
+    budget = CpuBudget(world.job.cpu_budget_s * CHANGES_BUDGET_FACTOR)
+    decode_times_ns: list[float] = []
+    body_sizes: list[int] = []
+    apply_costs: list[int] = []
+    while len(apply_costs) < MIN_SAMPLES or (
+        len(apply_costs) < MAX_MEASURED_CHANGES and not budget.is_exhausted()
+    ):
+        body = world.backend_list.encode_next_change(simulation.now)
+        body_sizes.append(len(body))
+        started_at = time.thread_time_ns()
+        backends = world.decode(body)
+        decode_times_ns.append(time.thread_time_ns() - started_at)
+        simulation.feed(EndpointUpdate(EndpointUpdateKind.UPDATE, backends, world.backend_list.version))
+        apply_costs.append(simulation.meter.last_cost)
     return {
-        "change_cpu_us": median(costs) / NANOSECONDS_PER_US,
-        "change_cpu_p99_us": percentile(costs, 99) / NANOSECONDS_PER_US,
-        "change_read_cpu_us": median(reads) / NANOSECONDS_PER_US,
-        "change_bytes": median(sizes),
-        "change_samples": len(costs),
+        "change_cpu_us": median(apply_costs) / NANOSECONDS_PER_US,
+        "change_cpu_p99_us": calculate_percentile(apply_costs, 99) / NANOSECONDS_PER_US,
+        "change_read_cpu_us": median(decode_times_ns) / NANOSECONDS_PER_US,
+        "change_bytes": median(body_sizes),
+        "change_samples": len(apply_costs),
     }
--- a/scale/slopes/runner.py
+++ b/scale/slopes/runner.py
@@ -1,4 +1,4 @@
-"""Runs sweeps: one child at a time for each pass at each point, and a result for each sweep."""
+"""Runs sweeps: each pass at each point in its own child process, one after another."""
 
 from __future__ import annotations
 
@@ -18,17 +18,17 @@
 from scale.slopes.job import CounterModel, Job, Measurement, Pass, Sizes
 from scale.slopes.sweeps import Sweep
 
-MIN_TIMEOUT_S = 300.0  # of a child
-TIMEOUT_BUDGETS = 30.0  # of a child, in its CPU budgets, if that is longer
+MIN_TIMEOUT_S = 300.0  # shortest timeout of a child process
+TIMEOUT_BUDGETS = 30.0  # timeout of a child process in multiples of its CPU budget, if that is longer
 
 
 class MeasuringChildError(ScaleError):
-    """A measuring child gave no measurement."""
+    """A measuring child process has returned no measurement."""
 
 
 @dataclass
 class Runner:
-    """Measures points of the version in `project`; equal points are measured once."""
+    """Measures the points of sweeps with the version in `project`; equal points are measured once."""
 
     project: Path
     cpu_budget_s: float
@@ -37,12 +37,12 @@
     _measured: dict[tuple[Pass, Sizes], dict[str, float]] = field(default_factory=dict)
 
     def run(self, sweep: Sweep, progress: Callable[[], None]) -> Result:
-        """Measures all points of a sweep, each pass in a child of its own; `progress` follows each pass."""
+        """Measure all points of a sweep, and return the result; `progress` is called after each pass."""
         commit, dirty = commit_of(self.project)
         taken_at = now()
         started_at = time.monotonic()
         with Observer(self.note) as observer:
-            points = [self._point(sweep, sizes, progress) for sizes in sweep.sizes]
+            points = [self._measure_point(sweep, sizes, progress) for sizes in sweep.sizes]
         return Result(
             kind="slopes",
             name=sweep.name,
@@ -54,23 +54,27 @@
             points=points,
         )
 
-    def _point(self, sweep: Sweep, sizes: Sizes, progress: Callable[[], None]) -> Point:
+    def _measure_point(self, sweep: Sweep, sizes: Sizes, progress: Callable[[], None]) -> Point:
         measures: dict[str, float] = {}
-        for measuring in sweep.passes:
-            key = measuring, sizes
+        for pass_ in sweep.passes:
+            key = pass_, sizes
             if key not in self._measured:
-                self._measured[key] = self._measure(measuring, sizes)
+                self._measured[key] = self._run_pass(pass_, sizes)
             measures |= self._measured[key]
             progress()
-        return Point(sizes=sizes.model_dump(), measures=measures | _derived(measures, sizes))
+        return Point(sizes=sizes.model_dump(), measures=measures | _derive_measures(measures, sizes))
 
-    def _measure(self, measuring: Pass, sizes: Sizes) -> dict[str, float]:
-        job = Job(measuring=measuring, sizes=sizes, counter=self.counter, cpu_budget_s=self.cpu_budget_s)
+    def _run_pass(self, pass_: Pass, sizes: Sizes) -> dict[str, float]:
+        job = Job(measuring=pass_, sizes=sizes, counter=self.counter, cpu_budget_s=self.cpu_budget_s)
         return run_job(job, self.project).measures
 
 
-def _derived(measures: dict[str, float], sizes: Sizes) -> dict[str, float]:
-    """Bytes of control at one ingress: what the counter and the list's changes say, without any headers."""
+def _derive_measures(measures: dict[str, float], sizes: Sizes) -> dict[str, float]:
+    """Return the measures that follow from those of several passes.
+
+    The control bytes of one ingress are those of its counter calls and of the changes of the endpoint list,
+    without headers.
+    """
     if not {"counter_bytes_per_s", "change_bytes"} <= measures.keys():
         return {}
     changes = sizes.changes_per_s * measures["change_bytes"]
@@ -78,26 +82,33 @@
 
 
 def run_job(job: Job, project: Path) -> Measurement:
-    """Runs one pass in a child process; MeasuringChildError, with its last line, if it fails."""
+    """Run one pass in a child process, and return its measurement.
+
+    MeasuringChildError is raised if it fails; it holds the last line that the child wrote to standard error.
+    """
     command = [sys.executable, "-P", "-m", "scale.slopes.measure"]
-    limit = max(MIN_TIMEOUT_S, TIMEOUT_BUDGETS * job.cpu_budget_s)
+    timeout_s = max(MIN_TIMEOUT_S, TIMEOUT_BUDGETS * job.cpu_budget_s)
     with child_environment(project) as environment:
         try:
-            done = subprocess.run(
+            completed = subprocess.run(
                 command,
                 input=job.model_dump_json(),
                 capture_output=True,
                 text=True,
                 env=environment,
-                timeout=limit,
+                timeout=timeout_s,
                 check=False,
             )
         except subprocess.TimeoutExpired:
-            raise MeasuringChildError(f"{job.measuring.value}: no measurement within {limit:g} s") from None
-    if done.returncode:
-        last = (done.stderr.strip().splitlines() or ["no message"])[-1]
-        raise MeasuringChildError(f"{job.measuring.value}: exit code {done.returncode}: {last}")
+            raise MeasuringChildError(
+                f"{job.measuring.value}: no measurement within {timeout_s:g} s"
+            ) from None
+    if completed.returncode:
+        last_line = (completed.stderr.strip().splitlines() or ["no message"])[-1]
+        raise MeasuringChildError(f"{job.measuring.value}: exit code {completed.returncode}: {last_line}")
     try:
-        return Measurement.model_validate_json(done.stdout)
+        return Measurement.model_validate_json(completed.stdout)
     except ValidationError:
-        raise MeasuringChildError(f"{job.measuring.value}: the child's answer is no measurement") from None
+        raise MeasuringChildError(
+            f"{job.measuring.value}: the output of the child process is not a measurement"
+        ) from None
--- a/scale/slopes/sweeps.py
+++ b/scale/slopes/sweeps.py
@@ -1,4 +1,4 @@
-"""The sweeps: one dimension at a time, the others at a base."""
+"""The sweeps: each changes one size of the fleet and keeps the others at a base value."""
 
 from __future__ import annotations
 
@@ -6,29 +6,32 @@
 
 from scale.slopes.job import SPREAD, Pass, Sizes
 
-FLEET = 3_400  # ingresses
-TENANTS_HERE = 500  # that one ingress serves
-QUICK_POINTS = 3
-CPU = (Pass.TIMES, Pass.OPERATIONS)
-CPU_AND_MEMORY = (*CPU, Pass.MEMORY)
+FULL_FLEET = 3_400  # ingresses of the largest fleet
+TENANTS_PER_INGRESS = 500
+SHORT_SWEEP_POINTS = 3
+CPU_PASSES = (Pass.TIMES, Pass.OPERATIONS)
+CPU_AND_MEMORY_PASSES = (*CPU_PASSES, Pass.MEMORY)
 
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """A series of sizes under the name of what changes."""
+    """The sizes at which some passes are run; the name says what changes from one to the next."""
 
     name: str
     passes: tuple[Pass, ...]
     sizes: tuple[Sizes, ...]
 
 
-def base(**changes: float) -> Sizes:
-    """The base with changes; the tenants of the fleet follow the ingresses unless they are given."""
+def build_sizes(**changes: float) -> Sizes:
+    """Return the base sizes with some changes.
+
+    The number of tenants is proportional to that of the ingresses, unless it is given.
+    """
     ingresses = int(changes.get("ingresses", 400))
     defaults: dict[str, float] = {
         "backends": 2_000,
         "ingresses": ingresses,
-        "tenants": TENANTS_HERE * ingresses // SPREAD,
+        "tenants": TENANTS_PER_INGRESS * ingresses // SPREAD,
         "services": 6,
         "changes_per_s": 0.4,
         "requests_per_s": 676.0,
@@ -36,57 +39,70 @@
     return Sizes.model_validate(defaults | changes)
 
 
-def _backends() -> Sweep:
+def _build_backends_sweep() -> Sweep:
     counts = (200, 600, 2_000, 6_000, 20_000, 60_000, 200_000)
-    return Sweep("backends", CPU_AND_MEMORY, tuple(base(backends=n, ingresses=FLEET) for n in counts))
+    return Sweep(
+        "backends",
+        CPU_AND_MEMORY_PASSES,
+        tuple(build_sizes(backends=count, ingresses=FULL_FLEET) for count in counts),
+    )
 
 
-def _ingresses(name: str, backends: int, passes: tuple[Pass, ...]) -> Sweep:
-    counts = (34, 100, 340, 1_000, FLEET)
-    return Sweep(name, passes, tuple(base(ingresses=n, backends=backends) for n in counts))
+def _build_ingresses_sweep(name: str, backends: int, passes: tuple[Pass, ...]) -> Sweep:
+    counts = (34, 100, 340, 1_000, FULL_FLEET)
+    return Sweep(name, passes, tuple(build_sizes(ingresses=count, backends=backends) for count in counts))
 
 
-def _tenants() -> Sweep:
+def _build_tenants_sweep() -> Sweep:
     counts = (5_900, 19_000, 59_000, 190_000, 590_000)
     return Sweep(
-        "tenants", (*CPU_AND_MEMORY, Pass.COUNTER), tuple(base(tenants=n, ingresses=FLEET) for n in counts)
+        "tenants",
+        (*CPU_AND_MEMORY_PASSES, Pass.COUNTER),
+        tuple(build_sizes(tenants=count, ingresses=FULL_FLEET) for count in counts),
     )
 
 
-def _services() -> Sweep:
-    """The nearest that the decision module knows to a service is a class of requests in its settings."""
+def _build_services_sweep() -> Sweep:
+    """Vary the request classes in the settings; the decision module knows services in no other form yet."""
     counts = (6, 20, 60, 200, 600)
-    return Sweep("services", CPU_AND_MEMORY, tuple(base(services=n) for n in counts))
+    return Sweep("services", CPU_AND_MEMORY_PASSES, tuple(build_sizes(services=count) for count in counts))
 
 
-def _changes() -> Sweep:
+def _build_changes_sweep() -> Sweep:
     rates = (0.4, 1.2, 4.0, 12.0, 40.0)
-    return Sweep("changes_per_s", CPU, tuple(base(changes_per_s=rate) for rate in rates))
+    return Sweep("changes_per_s", CPU_PASSES, tuple(build_sizes(changes_per_s=rate) for rate in rates))
 
 
-def _acceptance() -> Sweep:
-    corners = ((200, 40), (200, 200), (200, FLEET), (2_000, FLEET), (20_000, FLEET), (200_000, FLEET))
+def _build_acceptance_sweep() -> Sweep:
+    fleet_sizes = (
+        (200, 40),
+        (200, 200),
+        (200, FULL_FLEET),
+        (2_000, FULL_FLEET),
+        (20_000, FULL_FLEET),
+        (200_000, FULL_FLEET),
+    )
     return Sweep(
         "acceptance",
-        CPU,
-        tuple(base(backends=backends, ingresses=ingresses) for backends, ingresses in corners),
+        CPU_PASSES,
+        tuple(build_sizes(backends=backends, ingresses=ingresses) for backends, ingresses in fleet_sizes),
     )
 
 
 SWEEPS: dict[str, Sweep] = {
     sweep.name: sweep
     for sweep in (
-        _acceptance(),
-        _backends(),
-        _ingresses("ingresses", 2_000, (*CPU, Pass.COUNTER)),
-        _ingresses("ingresses-at-200-backends", 200, CPU),
-        _tenants(),
-        _services(),
-        _changes(),
+        _build_acceptance_sweep(),
+        _build_backends_sweep(),
+        _build_ingresses_sweep("ingresses", 2_000, (*CPU_PASSES, Pass.COUNTER)),
+        _build_ingresses_sweep("ingresses-at-200-backends", 200, CPU_PASSES),
+        _build_tenants_sweep(),
+        _build_services_sweep(),
+        _build_changes_sweep(),
     )
 }
 
 
 def quick(sweep: Sweep) -> Sweep:
-    """The first points alone: for a quick look, not for fits."""
-    return Sweep(sweep.name, sweep.passes, sweep.sizes[:QUICK_POINTS])
+    """Return a sweep with only the first points, which are too few to fit a growth to."""
+    return Sweep(sweep.name, sweep.passes, sweep.sizes[:SHORT_SWEEP_POINTS])
--- a/scale/slopes/tables.py
+++ b/scale/slopes/tables.py
@@ -1,4 +1,4 @@
-"""Tables of sweeps for the terminal, and the ratios that the acceptance sweep is about."""
+"""Tables of sweeps for the terminal, and the ratios between points of the acceptance sweep."""
 
 from __future__ import annotations
 
@@ -35,8 +35,8 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Corner:
-    """A point of the acceptance sweep."""
+class FleetSize:
+    """The sizes of a point of the acceptance sweep."""
 
     backends: int
     ingresses: int
@@ -47,58 +47,61 @@
 
 @dataclass(frozen=True, slots=True)
 class Ratio:
-    """A measure at a large corner over the same measure at a small one."""
+    """A measure at a large fleet size divided by the same measure at a small one."""
 
     label: str
-    measure: str  # its name in the results
-    large: Corner
-    small: Corner
+    measure: str
+    """The name of the measure in results."""
+    large: FleetSize
+    small: FleetSize
 
 
-LARGE = Corner(20_000, 3_400)
-FEW_BACKENDS = Corner(200, 3_400)
-SMALL = Corner(200, 40)
+LARGE_FLEET = FleetSize(20_000, 3_400)
+LARGE_FLEET_WITH_FEW_BACKENDS = FleetSize(200, 3_400)
+SMALL_FLEET = FleetSize(200, 40)
 RATIOS = (
-    Ratio("request, p50", "request_cpu_p50_us", LARGE, FEW_BACKENDS),
-    Ratio("request, p99", "request_cpu_p99_us", LARGE, FEW_BACKENDS),
-    Ratio("request, calls p50", "request_calls_p50", LARGE, FEW_BACKENDS),
-    Ratio("request, calls p99", "request_calls_p99", LARGE, FEW_BACKENDS),
-    Ratio("change", "change_cpu_us", LARGE, SMALL),
-    Ratio("change, calls", "change_calls", LARGE, SMALL),
+    Ratio("request, p50", "request_cpu_p50_us", LARGE_FLEET, LARGE_FLEET_WITH_FEW_BACKENDS),
+    Ratio("request, p99", "request_cpu_p99_us", LARGE_FLEET, LARGE_FLEET_WITH_FEW_BACKENDS),
+    Ratio("request, calls p50", "request_calls_p50", LARGE_FLEET, LARGE_FLEET_WITH_FEW_BACKENDS),
+    Ratio("request, calls p99", "request_calls_p99", LARGE_FLEET, LARGE_FLEET_WITH_FEW_BACKENDS),
+    Ratio("change", "change_cpu_us", LARGE_FLEET, SMALL_FLEET),
+    Ratio("change, calls", "change_calls", LARGE_FLEET, SMALL_FLEET),
 )
 
 
-def _cell(value: float) -> str:
+def _format_cell(value: float) -> str:
     return f"{value:,.0f}" if abs(value) >= 1000 else f"{value:,.3g}"
 
 
 def sweep_table(result: Result) -> Table:
-    """The points of a sweep side by side, with the sizes that differ and the measures that it has."""
-    sizes = [name for name in SIZE_ROWS if len({point.sizes[name] for point in result.points}) > 1]
+    """Return a table with one column for each point: the sizes that differ, and the measures."""
+    size_names = [name for name in SIZE_ROWS if len({point.sizes[name] for point in result.points}) > 1]
     table = Table(title=f"{result.name}, commit {result.commit[:7]}", show_header=False)
-    for name in sizes:
-        table.add_row(name, *(_cell(point.sizes[name]) for point in result.points))
+    for name in size_names:
+        table.add_row(name, *(_format_cell(point.sizes[name]) for point in result.points))
     table.add_section()
     for name, label in MEASURE_ROWS.items():
         if any(name in point.measures for point in result.points):
-            table.add_row(label, *(_cell(point.measures.get(name, float("nan"))) for point in result.points))
+            table.add_row(
+                label, *(_format_cell(point.measures.get(name, float("nan"))) for point in result.points)
+            )
     return table
 
 
-def _point_at(result: Result, corner: Corner) -> Point | None:
+def _find_point(result: Result, fleet_size: FleetSize) -> Point | None:
     for point in result.points:
-        if Corner(int(point.sizes["backends"]), int(point.sizes["ingresses"])) == corner:
+        if FleetSize(int(point.sizes["backends"]), int(point.sizes["ingresses"])) == fleet_size:
             return point
     return None
 
 
 def ratio_table(result: Result) -> Table:
-    """The ratios between corners of the acceptance sweep, as far as they were measured."""
+    """Return a table of the ratios between points of the acceptance sweep, as far as they were measured."""
     table = Table("ratio", "of backends/ingresses", "to", "value", title="acceptance, ratios")
     for ratio in RATIOS:
-        above = _point_at(result, ratio.large)
-        below = _point_at(result, ratio.small)
-        if above is not None and below is not None:
-            value = above.measures[ratio.measure] / below.measures[ratio.measure]
+        large_point = _find_point(result, ratio.large)
+        small_point = _find_point(result, ratio.small)
+        if large_point is not None and small_point is not None:
+            value = large_point.measures[ratio.measure] / small_point.measures[ratio.measure]
             table.add_row(ratio.label, str(ratio.large), str(ratio.small), f"{value:,.2f}")
     return table
--- a/scale/slopes/traffic.py
+++ b/scale/slopes/traffic.py
@@ -1,4 +1,4 @@
-"""The requests that clients make of one ingress: a seeded Poisson stream over tenants and classes."""
+"""The requests that clients send to one ingress: a seeded Poisson stream over tenants and classes."""
 
 from __future__ import annotations
 
@@ -8,39 +8,43 @@
 
 from ingress.interface import Idempotency, Request, RequestClass, Settings
 from scale.slopes.job import Sizes
-from scale.slopes.tenants import UNITS, Demand, Tenant
+from scale.slopes.tenants import UNIT_CHOICES, Demand, Tenant
 
 
 @dataclass(frozen=True, slots=True)
 class Arrival:
-    """A request and the time at which it comes."""
+    """A request and when it arrives."""
 
-    at: float
+    arrives_at: float
+    """In seconds on the simulated clock."""
     request: Request
 
 
-def arrivals(sizes: Sizes, settings: Settings, demand: Demand, start: float, seed: int) -> Iterator[Arrival]:
-    """An endless stream of requests from `start` on."""
+def generate_arrivals(
+    sizes: Sizes, settings: Settings, demand: Demand, start_time: float, seed: int
+) -> Iterator[Arrival]:
+    """Yield an endless stream of requests from `start_time` on."""
     rng = random.Random(seed)
-    now = start
+    now = start_time
     number = 0
     while True:
         now += rng.expovariate(sizes.requests_per_s)
         number += 1
         tenant = rng.choices(demand.tenants, cum_weights=demand.cumulative_weights)[0]
         request_class = rng.choice(settings.classes)
-        units = float(rng.choice(UNITS))
-        yield Arrival(now, _request(str(number), sizes, tenant, request_class, units))
+        units = float(rng.choice(UNIT_CHOICES))
+        yield Arrival(now, _build_request(str(number), sizes, tenant, request_class, units))
 
 
-def one_request_each(sizes: Sizes, settings: Settings, demand: Demand) -> list[Request]:
-    """One request of one unit from each tenant."""
+def build_request_of_each_tenant(sizes: Sizes, settings: Settings, demand: Demand) -> list[Request]:
+    """Return one request of one unit from each tenant."""
     return [
-        _request(f"first-{tenant.key}", sizes, tenant, settings.classes[0], 1.0) for tenant in demand.tenants
+        _build_request(f"first-{tenant.key}", sizes, tenant, settings.classes[0], 1.0)
+        for tenant in demand.tenants
     ]
 
 
-def _request(
+def _build_request(
     request_id: str, sizes: Sizes, tenant: Tenant, request_class: RequestClass, units: float
 ) -> Request:
     return Request(
@@ -51,6 +55,6 @@
         remaining_time=request_class.deadline,
         units=units,
         assigned_instances=sizes.spread,
-        first_instance=sizes.first,
+        first_instance=sizes.first_ingress,
         is_write=request_class.idempotency is not Idempotency.IDEMPOTENT,
     )
--- a/scale/slopes/world.py
+++ b/scale/slopes/world.py
@@ -1,4 +1,4 @@
-"""Builds what a pass needs: the settings, the gateway's surroundings, the list and the requests."""
+"""Creates the settings, the gateway, its stand-ins, the endpoint list and the requests of a pass."""
 
 from __future__ import annotations
 
@@ -6,20 +6,20 @@
 from ingress.interface import EndpointUpdate, EndpointUpdateKind
 from scale.slopes.counter import CounterStandIn
 from scale.slopes.job import Job
-from scale.slopes.listing import BackendList, find_reader
+from scale.slopes.listing import BackendList, find_decoder
 from scale.slopes.meters import Meter
 from scale.slopes.settings import COUNTER_TIMEOUT_S, build_settings
 from scale.slopes.simulation import Simulation
 from scale.slopes.tenants import build_demand
-from scale.slopes.traffic import arrivals
+from scale.slopes.traffic import generate_arrivals
 
-START = 1_000_000.0  # s: the simulated clock's first time
+START_TIME_S = 1_000_000.0  # first time of the simulated clock
 
 
 class World:
-    """Everything around one gateway, made from a job's sizes and seed.
+    """The surroundings of one gateway, created from the sizes and the seed of a job.
 
-    Siblings are gateways that serve the same tenants; each has requests of its own.
+    Siblings are the gateways that serve the same tenants; each has its own requests.
     """
 
     def __init__(self, job: Job, backends: int, sibling: int = 0) -> None:
@@ -27,29 +27,37 @@
         self.job = job
         self.demand = build_demand(job.sizes, job.seed)
         self.settings = build_settings(job.sizes, self.demand, sibling)
-        self.list = BackendList(backends, job.seed)
-        self.read = find_reader()
+        self.backend_list = BackendList(backends, job.seed)
+        self.decode = find_decoder()
 
-    def gateway(self) -> Gateway:
-        """A new gateway that has no list yet."""
+    def create_gateway(self) -> Gateway:
+        """Return a new gateway, which has no endpoint list yet."""
         return Gateway(self.settings, self.seed)
 
-    def counter(self, callers: int = 1) -> CounterStandIn:
-        """A counter for so many gateways."""
+    def create_counter(self, callers: int = 1) -> CounterStandIn:
+        """Return a counter that serves `callers` gateways."""
         return CounterStandIn(self.job.counter, self.job.sizes, callers, COUNTER_TIMEOUT_S, self.job.seed)
 
-    def simulation(self, meter: Meter, counter: CounterStandIn | None = None) -> Simulation:
-        """A simulation in which nothing happens yet."""
-        return Simulation(meter, counter or self.counter(), START)
-
-    def begin_requests(self, simulation: Simulation) -> None:
-        """Lets the clients' requests arrive."""
-        simulation.begin(arrivals(self.job.sizes, self.settings, self.demand, simulation.now, self.seed))
-
-    def whole_list(self, kind: EndpointUpdateKind) -> EndpointUpdate:
-        """The event for the whole list as it is now."""
-        return EndpointUpdate(kind, self.read(self.list.whole()), self.list.version)
-
-    def next_change(self, now: float) -> EndpointUpdate:
-        """The event for the list's next change."""
-        return EndpointUpdate(EndpointUpdateKind.UPDATE, self.read(self.list.change(now)), self.list.version)
+    def create_simulation(self, meter: Meter, counter: CounterStandIn | None = None) -> Simulation:
+        """Return a simulation without any scheduled events."""
+        return Simulation(meter, counter or self.create_counter(), START_TIME_S)
+
+    def start_requests(self, simulation: Simulation) -> None:
+        """Let the requests of clients arrive from now on."""
+        simulation.start_arrivals(
+            generate_arrivals(self.job.sizes, self.settings, self.demand, simulation.now, self.seed)
+        )
+
+    def build_full_update(self, kind: EndpointUpdateKind) -> EndpointUpdate:
+        """Return the event that delivers the complete list as it is now."""
+        return EndpointUpdate(
+            kind, self.decode(self.backend_list.encode_full_list()), self.backend_list.version
+        )
+
+    def build_next_change(self, now: float) -> EndpointUpdate:
+        """Make the next change of the list, and return the event that delivers it."""
+        return EndpointUpdate(
+            EndpointUpdateKind.UPDATE,
+            self.decode(self.backend_list.encode_next_change(now)),
+            self.backend_list.version,
+        )
