--- a/scale/cold/fleet.py
+++ b/scale/cold/fleet.py
@@ -102,8 +102,11 @@
     def _handle_arrival(self, ingress: Ingress) -> None:
         self._schedule_request(ingress)
         self._outcomes.requests += 1
-        key = str(self._outcomes.requests)
-        self._feed(ingress, Request(key, CLASS_NAME, PLAN_NAME, customer=key, remaining_time=DEADLINE_S))
+        request_id = str(self._outcomes.requests)
+        self._feed(
+            ingress,
+            Request(request_id, CLASS_NAME, PLAN_NAME, customer=request_id, remaining_time=DEADLINE_S),
+        )
 
     def _feed(self, ingress: Ingress, event: Event) -> None:
         for action in ingress.gateway.handle(self._now, event):
@@ -111,14 +114,14 @@
 
     def _execute(self, ingress: Ingress, action: Action) -> None:
         match action:
-            case SendAttempt(id=key, backend=backend_id):
-                self._send_attempt(ingress, key, backend_id)
+            case SendAttempt(id=request_id, backend=backend_id):
+                self._send_attempt(ingress, request_id, backend_id)
             case SetTimer(delay=delay, token=token):
                 self._schedule.plan(self._now + delay, partial(self._feed, ingress, TimerFired(token)))
 
-    def _send_attempt(self, ingress: Ingress, key: str, backend_id: str) -> None:
-        attempt_number = ingress.attempt_counts.get(key, 0)
-        ingress.attempt_counts[key] = attempt_number + 1
+    def _send_attempt(self, ingress: Ingress, request_id: str, backend_id: str) -> None:
+        attempt_number = ingress.attempt_counts.get(request_id, 0)
+        ingress.attempt_counts[request_id] = attempt_number + 1
         self._outcomes.sent += attempt_number == 0
         self._record_if_cold(ingress, backend_id)
         if self._now >= self._replacement.starts_at and backend_id in self._replacement.removed_ids:
@@ -127,7 +130,7 @@
         else:
             outcome = Outcome.OK
             latency = NETWORK_ROUND_TRIP_S + self._queues.queue_request(backend_id, self._now)
-        ended = AttemptEnded(key, attempt_number, backend_id, outcome, latency, outcome is Outcome.OK)
+        ended = AttemptEnded(request_id, attempt_number, backend_id, outcome, latency, outcome is Outcome.OK)
         self._schedule.plan(self._now + latency, partial(self._feed, ingress, ended))
 
     def _record_if_cold(self, ingress: Ingress, backend_id: str) -> None:
--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -52,15 +52,15 @@
         self._world.counts["sends"] += 1
         self._start_timer(action.id, request, attempt)
 
-    def cancel(self, key: str, number: int) -> None:
+    def cancel(self, request_id: str, number: int) -> None:
         """Cancel an attempt if it is in flight."""
-        request = self._requests.get(key)
+        request = self._requests.get(request_id)
         if (
             request is not None
             and request.current_attempt is not None
             and request.current_attempt.number == number
         ):
-            self._cancel_current(key, request)
+            self._cancel_current(request_id, request)
 
     def _feed_not_sent(self, action: api.SendAttempt, request: OpenRequest | None) -> None:
         number = 0 if request is None else request.attempt_count
@@ -69,51 +69,57 @@
             api.AttemptEnded(action.id, number, action.backend, api.Outcome.SUPERSEDED, finished=is_finished)
         )
 
-    def _start_timer(self, key: str, request: OpenRequest, attempt: Attempt) -> None:
+    def _start_timer(self, request_id: str, request: OpenRequest, attempt: Attempt) -> None:
         """Draw the latency of an attempt, and start the timer that ends it."""
         if self._world.unreachable(attempt.backend):
-            self._end_after(0.0, key, attempt, api.Outcome.CONNECT_FAILED)
+            self._end_after(0.0, request_id, attempt, api.Outcome.CONNECT_FAILED)
             return
         self._world.note_send(attempt.backend, request.units, self._clock())
         model = self._world.scenario.backend
         latency = self._rng.lognormvariate(math.log(model.latency_ms / 1000), model.latency_sigma)
         if self._world.silent(attempt.backend) or latency > attempt.timeout:
-            self._end_after(attempt.timeout, key, attempt, api.Outcome.TIMEOUT)
+            self._end_after(attempt.timeout, request_id, attempt, api.Outcome.TIMEOUT)
         else:
-            attempt.timer = self._loop.call_later(latency, self._answer, key, attempt)
+            attempt.timer = self._loop.call_later(latency, self._answer, request_id, attempt)
 
-    def _end_after(self, delay: float, key: str, attempt: Attempt, outcome: api.Outcome) -> None:
-        attempt.timer = self._loop.call_later(delay, self._end, key, attempt, outcome)
+    def _end_after(self, delay: float, request_id: str, attempt: Attempt, outcome: api.Outcome) -> None:
+        attempt.timer = self._loop.call_later(delay, self._end, request_id, attempt, outcome)
 
-    def _answer(self, key: str, attempt: Attempt) -> None:
+    def _answer(self, request_id: str, attempt: Attempt) -> None:
         """End an attempt when its answer is due; it times out if its backend has become silent meanwhile."""
         if self._world.silent(attempt.backend):
             remaining_s = attempt.sent_at + attempt.timeout - time.monotonic()
-            self._end_after(max(0.0, remaining_s), key, attempt, api.Outcome.TIMEOUT)
+            self._end_after(max(0.0, remaining_s), request_id, attempt, api.Outcome.TIMEOUT)
         else:
-            self._end(key, attempt, api.Outcome.OK)
+            self._end(request_id, attempt, api.Outcome.OK)
 
-    def _end(self, key: str, attempt: Attempt, outcome: api.Outcome) -> None:
-        request = self._requests.get(key)
+    def _end(self, request_id: str, attempt: Attempt, outcome: api.Outcome) -> None:
+        request = self._requests.get(request_id)
         if request is None or request.current_attempt is not attempt:
             return
         request.current_attempt = None
-        self._feed_outcome(key, attempt, outcome)
+        self._feed_outcome(request_id, attempt, outcome)
 
-    def _cancel_current(self, key: str, request: OpenRequest) -> None:
+    def _cancel_current(self, request_id: str, request: OpenRequest) -> None:
         attempt = request.current_attempt
         request.current_attempt = None
         if attempt is None:
             return
         attempt.cancel_timer()
-        self._feed_outcome(key, attempt, api.Outcome.CANCELLED)
+        self._feed_outcome(request_id, attempt, api.Outcome.CANCELLED)
 
-    def _feed_outcome(self, key: str, attempt: Attempt, outcome: api.Outcome) -> None:
+    def _feed_outcome(self, request_id: str, attempt: Attempt, outcome: api.Outcome) -> None:
         latency = time.monotonic() - attempt.sent_at
         is_served = outcome is api.Outcome.OK
         load_report = {"inflight": 1.0} if is_served else {}
         self._feed(
             api.AttemptEnded(
-                key, attempt.number, attempt.backend, outcome, latency, is_served, load_report=load_report
+                request_id,
+                attempt.number,
+                attempt.backend,
+                outcome,
+                latency,
+                is_served,
+                load_report=load_report,
             )
         )
--- a/scale/hollow/ingress.py
+++ b/scale/hollow/ingress.py
@@ -71,44 +71,44 @@
         self.requests.close("cut")
         await self._control.stop()
 
-    def _accept_request(self, draw: DrawnRequest) -> None:
-        key = self.requests.add(draw.units)
-        deadline_s = draw.request_class.deadline_s
-        self._loop.call_later(deadline_s, self._enforce_deadline, key)
-        self._module.feed(_create_request(key, draw, decision_time(deadline_s)))
+    def _accept_request(self, drawn_request: DrawnRequest) -> None:
+        request_id = self.requests.add(drawn_request.units)
+        deadline_s = drawn_request.request_class.deadline_s
+        self._loop.call_later(deadline_s, self._enforce_deadline, request_id)
+        self._module.feed(_create_request(request_id, drawn_request, decision_time(deadline_s)))
 
-    def _enforce_deadline(self, key: str) -> None:
+    def _enforce_deadline(self, request_id: str) -> None:
         """Answer a request that the decision module has left open, as a real ingress does at the deadline."""
-        if self.requests.get(key) is not None:
-            self.requests.finish(key, "forced")
-            self._module.feed(api.RequestCancelled(key))
-        self._loop.call_later(DUPLICATE_WINDOW_S, self.requests.forget_answered, key)
+        if self.requests.get(request_id) is not None:
+            self.requests.finish(request_id, "forced")
+            self._module.feed(api.RequestCancelled(request_id))
+        self._loop.call_later(DUPLICATE_WINDOW_S, self.requests.forget_answered, request_id)
 
     def _execute(self, action: api.Action) -> None:
         match action:
             case api.SendAttempt():
                 self._attempts.send(action)
-            case api.Reject(id=key):
-                self.requests.finish(key, "refused")
-            case api.Fail(id=key):
-                self.requests.finish(key, "failed")
+            case api.Reject(id=request_id):
+                self.requests.finish(request_id, "refused")
+            case api.Fail(id=request_id):
+                self.requests.finish(request_id, "failed")
             case api.SetTimer(delay=delay, token=token):
                 self._loop.call_later(max(0.0, delay), self._module.feed, api.TimerFired(token))
             case api.IncrementCounter():
                 self._control.increment_counter(action)
-            case api.CancelAttempt(id=key, attempt=number):
-                self._attempts.cancel(key, number)
+            case api.CancelAttempt(id=request_id, attempt=number):
+                self._attempts.cancel(request_id, number)
 
 
-def _create_request(key: str, draw: DrawnRequest, remaining_time_s: float) -> api.Request:
+def _create_request(request_id: str, drawn_request: DrawnRequest, remaining_time_s: float) -> api.Request:
     return api.Request(
-        key,
-        draw.request_class.name,
-        draw.plan.name,
-        draw.tenant_key,
+        request_id,
+        drawn_request.request_class.name,
+        drawn_request.plan.name,
+        drawn_request.tenant_key,
         remaining_time_s,
-        float(draw.units),
-        draw.plan.spread,
-        draw.first_ingress,
-        is_write=draw.request_class.semantics != "safe",
+        float(drawn_request.units),
+        drawn_request.plan.spread,
+        drawn_request.first_ingress,
+        is_write=drawn_request.request_class.semantics != "safe",
     )
--- a/scale/hollow/module.py
+++ b/scale/hollow/module.py
@@ -43,8 +43,8 @@
     def _handle(self, event: api.Event) -> None:
         if self._is_stopped:
             return
-        key = getattr(event, "id", "")
-        request = self._requests.get(key)
+        request_id = getattr(event, "id", "")
+        request = self._requests.get(request_id)
         started_at = time.thread_time()
         actions = list(self._gateway.handle(self._clock(), event))
         cpu_s = time.thread_time() - started_at
@@ -54,7 +54,7 @@
             request.cpu_s += cpu_s
         self._requests.arriving_request = request if isinstance(event, api.Request) else None
         if isinstance(event, api.AttemptEnded) and event.finished and request is not None:
-            self._requests.finish(key, "served")
+            self._requests.finish(request_id, "served")
         for action in actions:
             self._execute(action)
         self._requests.arriving_request = None
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -54,23 +54,23 @@
         self.arriving_request: OpenRequest | None = None  # its arrival is being handled by the module
         self._world = world
         self._request_count = 0  # all requests so far
-        self._open_requests: dict[str, OpenRequest] = {}  # by key
-        self._answered_keys: set[str] = set()  # requests for which a second final answer is detected
+        self._open_requests: dict[str, OpenRequest] = {}  # by id
+        self._answered_ids: set[str] = set()  # requests for which a second final answer is detected
         self._drained = asyncio.Event()
         self._drained.set()
 
     def add(self, units: float) -> str:
-        """Add a request that has just arrived, and return its key."""
+        """Add a request that has just arrived, and return its id."""
         self._request_count += 1
-        key = str(self._request_count)
-        self._open_requests[key] = OpenRequest(time.monotonic(), units)
+        request_id = str(self._request_count)
+        self._open_requests[request_id] = OpenRequest(time.monotonic(), units)
         self._drained.clear()
         self._world.counts["requests"] += 1
-        return key
+        return request_id
 
-    def get(self, key: str) -> OpenRequest | None:
-        """Return the open request with a key, or None."""
-        return self._open_requests.get(key)
+    def get(self, request_id: str) -> OpenRequest | None:
+        """Return the open request with an id, or None."""
+        return self._open_requests.get(request_id)
 
     def record_decision(self, request: OpenRequest) -> None:
         """Record that the first attempt or the final answer of a request has come.
@@ -85,24 +85,24 @@
             self._world.counts["waited"] += 1
             self._world.counter_wait.record(time.monotonic() - request.arrived_at)
 
-    def finish(self, key: str, outcome: str) -> None:
+    def finish(self, request_id: str, outcome: str) -> None:
         """Count the final answer to a request under an outcome; a second one is counted as a duplicate."""
-        request = self._open_requests.pop(key, None)
+        request = self._open_requests.pop(request_id, None)
         if request is None:
-            if key in self._answered_keys:
+            if request_id in self._answered_ids:
                 self._world.counts["duplicated"] += 1
             return
         self.record_decision(request)
-        self._answered_keys.add(key)
+        self._answered_ids.add(request_id)
         self._world.counts[outcome] += 1
         self._world.request_cpu.record(request.cpu_s)
         if request.current_attempt is not None:
             request.current_attempt.cancel_timer()
         self._signal_if_drained()
 
-    def forget_answered(self, key: str) -> None:
+    def forget_answered(self, request_id: str) -> None:
         """Stop detecting second final answers to a request."""
-        self._answered_keys.discard(key)
+        self._answered_ids.discard(request_id)
 
     def close(self, outcome: str) -> None:
         """End all open requests without an answer, and count them under an outcome."""
--- a/scale/slopes/runner.py
+++ b/scale/slopes/runner.py
@@ -36,13 +36,13 @@
     note: str = ""
     _measured: dict[tuple[Pass, Sizes], dict[str, float]] = field(default_factory=dict)
 
-    def run(self, sweep: Sweep, progress: Callable[[], None]) -> Result:
-        """Measure all points of a sweep, and return the result; `progress` is called after each pass."""
+    def run(self, sweep: Sweep, on_pass_done: Callable[[], None]) -> Result:
+        """Measure all points of a sweep, and return the result; `on_pass_done` is called after each pass."""
         commit, dirty = commit_of(self.project)
         taken_at = now()
         started_at = time.monotonic()
         with Observer(self.note) as observer:
-            points = [self._measure_point(sweep, sizes, progress) for sizes in sweep.sizes]
+            points = [self._measure_point(sweep, sizes, on_pass_done) for sizes in sweep.sizes]
         return Result(
             kind="slopes",
             name=sweep.name,
@@ -54,14 +54,14 @@
             points=points,
         )
 
-    def _measure_point(self, sweep: Sweep, sizes: Sizes, progress: Callable[[], None]) -> Point:
+    def _measure_point(self, sweep: Sweep, sizes: Sizes, on_pass_done: Callable[[], None]) -> Point:
         measures: dict[str, float] = {}
         for pass_ in sweep.passes:
             key = pass_, sizes
             if key not in self._measured:
                 self._measured[key] = self._run_pass(pass_, sizes)
             measures |= self._measured[key]
-            progress()
+            on_pass_done()
         return Point(sizes=sizes.model_dump(), measures=measures | _derive_measures(measures, sizes))
 
     def _run_pass(self, pass_: Pass, sizes: Sizes) -> dict[str, float]:
--- a/scale/standins/client_requests.py
+++ b/scale/standins/client_requests.py
@@ -94,15 +94,19 @@
         self.added.record(max(0.0, latency - service_time))
 
 
-def encode_command(draw: DrawnRequest, request_id: bytes, idempotency_key: bytes) -> bytes:
+def encode_command(drawn_request: DrawnRequest, request_id: bytes, idempotency_key: bytes) -> bytes:
     """Return the RESP2 command of a request; the idempotency key is sent only if its class uses one."""
-    request_class = draw.request_class
+    request_class = drawn_request.request_class
     verb = b"API.READ" if request_class.semantics == "safe" else b"API.WRITE"
-    fields_text = f"c={request_class.name},t={draw.plan.name},d={round(request_class.deadline_s * 1000)}"
+    fields_text = (
+        f"c={request_class.name},t={drawn_request.plan.name},d={round(request_class.deadline_s * 1000)}"
+    )
     if request_class.semantics == "keyed":
         fields_text += f",k={idempotency_key.decode()}"
-    fields_text += f",units={draw.units},spread={draw.plan.spread},first={draw.first_ingress}"
-    arguments = [verb, draw.tenant_key.encode(), request_id, fields_text.encode()]
+    fields_text += (
+        f",units={drawn_request.units},spread={drawn_request.plan.spread},first={drawn_request.first_ingress}"
+    )
+    arguments = [verb, drawn_request.tenant_key.encode(), request_id, fields_text.encode()]
     if verb == b"API.WRITE":
         arguments.append(b"body")
     head = b"*%d\r\n" % len(arguments)
--- a/scale/standins/clients.py
+++ b/scale/standins/clients.py
@@ -66,14 +66,14 @@
         for connection in self._idle_connections:
             connection.close()
 
-    def _start_request(self, draw: DrawnRequest) -> None:
+    def _start_request(self, drawn_request: DrawnRequest) -> None:
         counts = self.measures.counts
         counts.requests += 1
         request_id = b"%04x%012x" % (self._ingress, counts.requests)
         idempotency_key = b"%016x" % self._rng.getrandbits(64)
         now = time.monotonic()
-        command = encode_command(draw, request_id, idempotency_key)
-        deadline_s = draw.request_class.deadline_s
+        command = encode_command(drawn_request, request_id, idempotency_key)
+        deadline_s = drawn_request.request_class.deadline_s
         request = PendingRequest(request_id, command, now, now + deadline_s)
         request.timer = self._loop.call_later(deadline_s + ANSWER_SLACK_S, self._count_as_lost, request)
         self._open_requests[request_id] = request
--- a/scale/standins/traffic.py
+++ b/scale/standins/traffic.py
@@ -44,8 +44,9 @@
     def get_plan(self, tenant: int) -> PlanModel:
         """Return the plan of a tenant.
 
-        The tenants whose first ingress is the same one are numbered in turn, and multiples of the golden
-        ratio spread evenly over [0, 1) for any number of them: the plans get their shares at each ingress.
+        Among the tenants with the same first ingress, the position of the n-th is the fractional part of n
+        times the golden ratio.  Such positions are spread evenly for any number of tenants, so that each plan
+        gets its share of the tenants at each ingress.
         """
         position = (tenant // self.ingress_count * 0.6180339887498949) % 1.0
         return self.scenario.plans[
--- a/tests/scale/test_cold.py
+++ b/tests/scale/test_cold.py
@@ -16,11 +16,11 @@
 from scale.report.page import read_selected_runs
 from scale.results import load_all
 
-SMALL = ColdStarts(ingresses=3, backends=8, load=0.6, warm_up_s=4.0, cold_s=6.0)
+SMALL_FLEET_JOB = ColdStarts(ingresses=3, backends=8, load=0.6, warm_up_s=4.0, cold_s=6.0)
 
 
 def test_capacity_share_grows_linearly_during_a_cold_start() -> None:
-    job = SMALL.model_copy(update={"cold_s": 10.0, "cold_share": 0.2})
+    job = SMALL_FLEET_JOB.model_copy(update={"cold_s": 10.0, "cold_share": 0.2})
     assert [job.calculate_capacity_share(age) for age in (0.0, 5.0, 10.0, 99.0)] == pytest.approx(
         [0.2, 0.6, 1.0, 1.0]
     )
@@ -48,7 +48,7 @@
 
 
 def test_there_are_no_windows_without_requests() -> None:
-    assert usage(SMALL, []).windows == 0
+    assert usage(SMALL_FLEET_JOB, []).windows == 0
 
 
 @pytest.mark.parametrize("ingresses", [3, 24])
@@ -56,7 +56,7 @@
 @pytest.mark.parametrize("notice", [0.0, 3.0])
 def test_fleet_does_not_overload_cold_backends(ingresses: int, kind: ColdStartKind, notice: float) -> None:
     changes = {"ingresses": ingresses, "start_kind": kind, "longest_notice_s": notice, "load": 1.2}
-    job = SMALL.model_copy(update=changes)
+    job = SMALL_FLEET_JOB.model_copy(update=changes)
     outcomes = Fleet(job).play()
     measured = usage(job, list(outcomes.informed.values()))
     assert measured.windows >= 5  # cold backends get requests
@@ -71,7 +71,7 @@
 
 
 def test_simulation_is_repeatable() -> None:
-    assert Fleet(SMALL).play() == Fleet(SMALL).play()
+    assert Fleet(SMALL_FLEET_JOB).play() == Fleet(SMALL_FLEET_JOB).play()
 
 
 def test_command_saves_a_result(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
@@ -87,7 +87,7 @@
 
 def test_new_result_has_the_keys_of_the_saved_one() -> None:
     [saved] = [result for result in load_all(cold.FOLDER) if result.kind == "cold"]
-    point = cold.play(SMALL)
+    point = cold.play(SMALL_FLEET_JOB)
     assert point.sizes.keys() == saved.points[0].sizes.keys()
     assert point.measures.keys() == saved.points[0].measures.keys()
 
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -26,7 +26,7 @@
 from scale.slopes.tenants import build_demand
 from scale.slopes.traffic import generate_arrivals
 
-SMALL = build_sizes(backends=200, ingresses=6, tenants=30)
+SMALL_SIZES = build_sizes(backends=200, ingresses=6, tenants=30)
 
 
 def test_operation_counts_are_repeatable_and_grow_little_with_the_backends() -> None:
@@ -45,7 +45,7 @@
 
 
 def test_point_holds_the_measures_of_each_pass() -> None:
-    sweep = Sweep("smoke", (Pass.TIMES, Pass.MEMORY), (SMALL,))
+    sweep = Sweep("smoke", (Pass.TIMES, Pass.MEMORY), (SMALL_SIZES,))
     progress_calls: list[None] = []
     result = Runner(TOOL_ROOT, 0.1).run(sweep, lambda: progress_calls.append(None))
     point = result.points[0]
@@ -59,7 +59,7 @@
 
 
 def test_open_requests_and_tenants_take_memory() -> None:
-    measures = measure_memory(Job(measuring=Pass.MEMORY, sizes=SMALL)).measures
+    measures = measure_memory(Job(measuring=Pass.MEMORY, sizes=SMALL_SIZES)).measures
     assert measures["memory_per_tenant_bytes"] > 0
     assert measures["memory_per_open_request_bytes"] > 0
 
@@ -68,7 +68,7 @@
     (tmp_path / "ingress").mkdir()
     (tmp_path / "ingress" / "__init__.py").write_text("raise RuntimeError('broken')", encoding="utf-8")
     with pytest.raises(MeasuringChildError, match="broken") as raised:
-        run_job(Job(measuring=Pass.TIMES, sizes=SMALL), tmp_path)
+        run_job(Job(measuring=Pass.TIMES, sizes=SMALL_SIZES), tmp_path)
     assert "\n" not in str(raised.value)
 
 
@@ -76,7 +76,7 @@
     monkeypatch.setattr(runner_module, "MIN_TIMEOUT_S", 0.01)
     monkeypatch.setattr(runner_module, "TIMEOUT_BUDGETS", 0.0)
     with pytest.raises(MeasuringChildError, match="no measurement"):
-        run_job(Job(measuring=Pass.TIMES, sizes=SMALL), TOOL_ROOT)
+        run_job(Job(measuring=Pass.TIMES, sizes=SMALL_SIZES), TOOL_ROOT)
 
 
 def test_sweeps_change_one_size_by_a_factor_of_at_least_95() -> None:
@@ -101,7 +101,7 @@
 
 
 def test_counter_adds_and_rejects_calls_when_its_queue_is_full() -> None:
-    counter = CounterStandIn(CounterModel(jitter_s=1e-6), SMALL, 1, 0.05, 1)
+    counter = CounterStandIn(CounterModel(jitter_s=1e-6), SMALL_SIZES, 1, 0.05, 1)
     first = counter.call(1.0, IncrementCounter(name=7, add=2.0, lifetime=60.0))
     second = counter.call(1.1, IncrementCounter(name=7, add=-0.5, lifetime=60.0))
     assert (first.reply.total, second.reply.total) == (2.0, 1.5)
