--- a/scale/__init__.py
+++ b/scale/__init__.py
@@ -1,12 +1,13 @@
-"""Scale runs: how the costs of an ingress grow with the size of its fleet.
+"""The scale tool: measure how the costs of an ingress grow with the size of its fleet.
 
 Terms:
 
-- a *hollow* ingress is the decision module with its real control traffic, but without client or backend
-  sockets, so that one process plays hundreds of them;
-- a *real* ingress is a process of the program that is measured;
-- a *stand-in* plays a peer of the ingresses: discovery's agent, the counter, the backends, the clients;
-- a *scenario* (`scale run`) plays a fleet with events in real time;
-- a *sweep* (`scale slopes`) measures the decision module alone while one size grows;
-- a *cold start* (`scale cold`) is a backend that has just been started and can't do its whole work yet.
+- A *hollow ingress* is the decision module with its real control traffic, but without client or backend
+  sockets, so that one process can simulate hundreds of them.
+- A *real ingress* is a process of the program that is measured.
+- A *stand-in* simulates a peer of the ingresses: the discovery agent, the shared counter, the backends or the
+  clients.
+- A *scenario* (`scale run`) runs a fleet in real time, with timed events such as a restart or a lost zone.
+- A *sweep* (`scale slopes`) measures the decision module alone while one size of the fleet grows.
+- A *cold start* (`scale cold`) is the start of a backend that can't serve its full capacity yet.
 """
--- a/scale/__main__.py
+++ b/scale/__main__.py
@@ -1,4 +1,4 @@
-"""Starts the command line of the scale runs."""
+"""Entry point of `python -m scale`."""
 
 from scale.cli import main
 
--- a/scale/cli.py
+++ b/scale/cli.py
@@ -1,4 +1,4 @@
-"""The command line `python -m scale`: a click group that imports each command when it is called for."""
+"""The command line `python -m scale`: a click group that imports a command's module on use."""
 
 from __future__ import annotations
 
@@ -12,26 +12,26 @@
 
 from scale import commands
 from scale.errors import ScaleError
-from scale.log import configure
+from scale.log import configure_logging
 
-USER_ERROR = 2  # exit code
-SIGNALLED = 128  # exit code, plus the signal's number
+EXIT_USER_ERROR = 2  # exit code
+EXIT_SIGNAL_BASE = 128  # exit code after a signal, to which the signal's number is added
 
 
-def _end(number: int, frame: FrameType | None) -> None:
-    """SIGTERM ends the program as an error does, so that what it has started ends with it."""
-    sys.exit(SIGNALLED + number)
+def _exit_on_signal(signal_number: int, frame: FrameType | None) -> None:
+    """Exit through an exception, so that clean-up code ends the child processes."""
+    sys.exit(EXIT_SIGNAL_BASE + signal_number)
 
 
 class LazyGroup(click.Group):
-    """A group whose commands live in `scale.commands`, so that one command needs no library of another."""
+    """A group that imports modules of `scale.commands` on use: no command needs the libraries of another."""
 
     def list_commands(self, ctx: click.Context) -> list[str]:
-        """The names of all commands."""
+        """Return the names of all commands."""
         return sorted(module.name for module in pkgutil.iter_modules(commands.__path__))
 
     def get_command(self, ctx: click.Context, cmd_name: str) -> click.Command | None:
-        """The command of that name, or None."""
+        """Return the command of that name, or None if there is none."""
         if cmd_name not in self.list_commands(ctx):
             return None
         command = importlib.import_module(f"scale.commands.{cmd_name}").command
@@ -40,17 +40,17 @@
         return command
 
     def invoke(self, ctx: click.Context) -> object:
-        """Runs the command; an error of the user's ends it with one line and exit code 2."""
+        """Run the command; print a ScaleError in one line and exit with code 2."""
         try:
             return super().invoke(ctx)
         except ScaleError as error:
             click.echo(f"error: {error}", err=True)
-            sys.exit(USER_ERROR)
+            sys.exit(EXIT_USER_ERROR)
 
 
 @click.group(cls=LazyGroup)
 @click.option("--verbose", is_flag=True, help="Log more.")
 def main(verbose: bool) -> None:
-    """Measures how the costs of an ingress grow with the size of its fleet."""
-    configure(verbose)
-    signal.signal(signal.SIGTERM, _end)
+    """Measure how the costs of an ingress grow with the size of its fleet."""
+    configure_logging(verbose)
+    signal.signal(signal.SIGTERM, _exit_on_signal)
--- a/scale/commands/__init__.py
+++ b/scale/commands/__init__.py
@@ -1,1 +1,1 @@
-"""The commands of `python -m scale`, one module each; each exports a click command named `command`."""
+"""The commands of `python -m scale`: each module exports one click command, named `command`."""
--- a/scale/commands/cold.py
+++ b/scale/commands/cold.py
@@ -1,4 +1,4 @@
-"""`python -m scale cold`: what cold backends get from fleets of several sizes, beside their budget."""
+"""`python -m scale cold`: count the requests that cold backends get, in fleets of several sizes."""
 
 from __future__ import annotations
 
@@ -20,15 +20,15 @@
 from scale.results import Point, Result, now, save
 
 FOLDER = TOOL_ROOT / "scale" / "results"
-LATE_S = 4.0  # notice of the last ingress where lists are late
-FLEETS = ((3, 12), (30, 30), (300, 150))  # ingresses and backends
-LOADS = (0.6, 1.2)
+LATE_NOTICE_S = 4.0  # delay until the last ingress has the new list, where lists are late
+FLEETS = ((3, 12), (30, 30), (300, 150))  # numbers of ingresses and backends
+LOADS = (0.6, 1.2)  # load relative to the capacity of all warm backends
 COLD_START_KINDS: tuple[ColdStartKind, ...] = ("replaced", "restarted")
 log = structlog.get_logger(__name__)
 
 
-def jobs(seed: int) -> list[ColdStarts]:
-    """All plays: loads below and above the capacity, both kinds of start, lists in time and late."""
+def make_jobs(seed: int) -> list[ColdStarts]:
+    """Return all jobs: loads below and above the capacity, both kinds of start, lists in time and late."""
     return [
         ColdStarts(
             ingresses=ingresses,
@@ -41,31 +41,31 @@
         for ingresses, backends in FLEETS
         for load in LOADS
         for kind in COLD_START_KINDS
-        for notice in (0.0, LATE_S)
+        for notice in (0.0, LATE_NOTICE_S)
     ]
 
 
 def play(job: ColdStarts) -> Point:
-    """Plays one day; what came from ingresses that knew of the start is counted by itself too."""
+    """Run one job; count requests from ingresses that knew of the start separately as well."""
     outcomes = Fleet(job).play()
     names = sorted(outcomes.informed.keys() | outcomes.uninformed.keys())
     everything = [
         sorted(outcomes.informed.get(name, []) + outcomes.uninformed.get(name, [])) for name in names
     ]
     measures = {"requests": float(outcomes.requests), "sent_share": outcomes.sent / max(1, outcomes.requests)}
-    # In results "told" stands for the ingresses that knew of the start.
+    # In results, "told" stands for the requests from ingresses that knew of the start.
     measures |= _measures("told", usage(job, list(outcomes.informed.values())))
     measures |= _measures("all", usage(job, everything))
     sizes = {name: float(value) for name, value in job.model_dump().items() if isinstance(value, int | float)}
     return Point(sizes=sizes | {"restarted": float(job.start_kind == "restarted")}, measures=measures)
 
 
-def _measures(whose: str, found: Usage) -> dict[str, float]:
-    return {f"{whose}_{name}": float(value) for name, value in asdict(found).items()}
+def _measures(prefix: str, window_usage: Usage) -> dict[str, float]:
+    return {f"{prefix}_{name}": float(value) for name, value in asdict(window_usage).items()}
 
 
 def cold_table(result: Result) -> Table:
-    """What the points of a result say, one row each."""
+    """Return a table with one row for each point of a result."""
     table = Table(*HEAD)
     for point in result.points:
         table.add_row(*row(point))
@@ -82,12 +82,12 @@
 )
 @click.option("--note", default="", help="What else ran on the machine meanwhile.")
 def command(seed: int, out: Path, note: str) -> None:
-    """Counts what cold backends get in each window with 3, 30 and 300 ingresses, lists in time and late."""
+    """Count the requests that cold backends get with 3, 30 and 300 ingresses, lists in time and late."""
     commit, dirty = commit_of(TOOL_ROOT)
     taken_at = now()
     started_at = time.monotonic()
     with Observer(note) as observer:
-        points = [play(job) for job in jobs(seed)]
+        points = [play(job) for job in make_jobs(seed)]
     result = Result(
         kind="cold",
         name="starts",
--- a/scale/commands/report.py
+++ b/scale/commands/report.py
@@ -1,4 +1,4 @@
-"""`python -m scale report`: fits, plots and the capacity page out of the saved results."""
+"""`python -m scale report`: fits, plots and the capacity page, computed from the saved results."""
 
 from __future__ import annotations
 
@@ -18,19 +18,21 @@
 from scale.report.versions import Sweep
 
 ROOT = Path(__file__).resolve().parents[2]
-PAGE = Path("docs/CAPACITY.md")
-FOLDER = click.Path(path_type=Path, file_okay=False)
-OUT_OF_DATE = 1  # exit code
+PAGE_PATH = Path("docs/CAPACITY.md")
+FOLDER_TYPE = click.Path(path_type=Path, file_okay=False)
+OUT_OF_DATE = 1  # exit code of a check that finds the page out of date
 
 
-def _tables(evidence: Evidence) -> list[Table]:
-    """One table for each sweep, with every measure that has enough points."""
+def _make_tables(evidence: Evidence) -> list[Table]:
+    """Return a table for each sweep that has a target, with every measure that has enough points."""
     return [
-        _table(evidence, sweep) for sweep in evidence.selected.sweeps.values() if evidence.target(sweep.name)
+        _make_table(evidence, sweep)
+        for sweep in evidence.selected.sweeps.values()
+        if evidence.target(sweep.name)
     ]
 
 
-def _table(evidence: Evidence, sweep: Sweep) -> Table:
+def _make_table(evidence: Evidence, sweep: Sweep) -> Table:
     table = Table(title=f"{sweep.name}, target {evidence.target(sweep.name):,.0f}", title_justify="left")
     for column in ("measure", "version", "commit", "growth", "at the target"):
         table.add_column(column)
@@ -39,14 +41,14 @@
             run = evidence.run(sweep.name, version)
             if run is None:
                 continue
-            shown, growth = describe(measure), describe_growth(run.growth(measure))
+            description, growth = describe(measure), describe_growth(run.growth(measure))
             figure = evidence.at_target(sweep.name, measure, version)
-            table.add_row(shown.text, version, run.version, growth, figure.text(shown.unit))
+            table.add_row(description.text, version, run.version, growth, figure.text(description.unit))
     return table
 
 
-def _check(page: Path, text: str) -> None:
-    """Ends with OUT_OF_DATE unless the page holds just this text."""
+def _check_page(page: Path, text: str) -> None:
+    """Exit with OUT_OF_DATE unless the page holds exactly this text."""
     if page.exists() and page.read_text(encoding="utf-8") == text:
         click.echo(f"{page.name} is up to date")
         return
@@ -64,7 +66,7 @@
 )
 @click.option(
     "--plots",
-    type=FOLDER,
+    type=FOLDER_TYPE,
     default=ROOT / "scale" / "plots",
     show_default="scale/plots",
     help="Folder that the plots go to.",
@@ -72,20 +74,20 @@
 @click.option(
     "--page",
     type=click.Path(path_type=Path, dir_okay=False),
-    default=ROOT / PAGE,
-    show_default=str(PAGE),
+    default=ROOT / PAGE_PATH,
+    show_default=str(PAGE_PATH),
     help="The page that is written, or checked.",
 )
 @click.option("--check", is_flag=True, help="Write nothing; exit 1 if the page is not up to date.")
 def command(results: Path, plots: Path, page: Path, check: bool) -> None:
-    """Fits the saved results, and writes the plots and the capacity page."""
+    """Fit the saved results, and write the plots and the capacity page."""
     selected = read_selected_runs(results)
     text = render_page(selected, ROOT)
     if check:
-        _check(page, text)
+        _check_page(page, text)
         return
     console = Console()
-    for table in _tables(Evidence(selected)):
+    for table in _make_tables(Evidence(selected)):
         console.print(table)
     for path in plot_all(selected, plots):
         click.echo(f"wrote {path.name}")
--- a/scale/commands/run.py
+++ b/scale/commands/run.py
@@ -1,4 +1,4 @@
-"""`scale run`: plays one scenario, real ingresses beside hollow ones, and saves what was measured."""
+"""`python -m scale run`: run one scenario with real and hollow ingresses, and save its result."""
 
 from __future__ import annotations
 
@@ -10,32 +10,36 @@
 import uvloop
 
 from scale import budget
-from scale.experiment.runner import Options, play
+from scale.experiment.runner import RunOptions, play_scenario
 from scale.project import check_project
-from scale.real import run_command
+from scale.real import read_run_command
 from scale.results import Result, save
 from scale.scenario import Scenario, load_scenario
 
-VIOLATIONS = ("lost", "duplicated", "wrong", "real_died")
-VIOLATED = 1  # exit code
-INTERRUPTED = 130  # exit code
-SLACK_S = 180.0  # of a run beside its phases
-START_PER_INGRESS_S = 0.3  # and for each ingress that starts
+VIOLATION_MEASURES = ("lost", "duplicated", "wrong", "real_died")
+EXIT_VIOLATED = 1  # exit code if a measure of VIOLATION_MEASURES is not 0
+EXIT_INTERRUPTED = 130  # exit code after Ctrl-C or SIGTERM
+RUN_SLACK_S = 180.0  # time limit of a run, added to its phases
+START_ALLOWANCE_PER_INGRESS_S = 0.3  # added to the time limit for each ingress
 
 
-def _play(options: Options, limit: float) -> Result:
+def _play(options: RunOptions, timeout_s: float) -> Result:
     try:
-        return uvloop.run(play(options, limit))
+        return uvloop.run(play_scenario(options, timeout_s))
     except (KeyboardInterrupt, asyncio.CancelledError):
         click.echo("interrupted: all processes of the run were ended", err=True)
-        sys.exit(INTERRUPTED)
+        sys.exit(EXIT_INTERRUPTED)
 
 
-def _measured(scenario: Scenario, project: Path, command: str, note: str, limit: float) -> Result:
+def _play_with_progress_bar(
+    scenario: Scenario, project: Path, command: str, note: str, timeout_s: float
+) -> Result:
     length = scenario.idle_s + scenario.duration_s
     with click.progressbar(length=round(length * 1000), label=scenario.name, file=sys.stderr) as bar:
-        options = Options(scenario, project, command, note, lambda seconds: bar.update(round(seconds * 1000)))
-        return _play(options, limit)
+        options = RunOptions(
+            scenario, project, command, note, lambda seconds: bar.update(round(seconds * 1000))
+        )
+        return _play(options, timeout_s)
 
 
 @click.command()
@@ -55,20 +59,25 @@
 @click.option("--note", default="", help="A remark that the result keeps.")
 @click.option("--real-command", help="In place of the `run` of the project's deploy file.")
 def command(scenario_path: Path, project: Path, results: Path, note: str, real_command: str | None) -> None:
-    """Plays one scenario and saves its result."""
+    """Run one scenario and save its result."""
     scenario = load_scenario(scenario_path)
     project = project.resolve()
     check_project(project)
-    started = real_command or (run_command(project) if scenario.sizes.real else "")
+    start_command = real_command or (read_run_command(project) if scenario.sizes.real else "")
     hollow_bytes = budget.measure_hollow_bytes(scenario_path, project) if scenario.sizes.hollow else 0
-    budget.check(budget.estimate(scenario, hollow_bytes), budget.Machine.here())
-    limit = scenario.idle_s + scenario.duration_s + SLACK_S + START_PER_INGRESS_S * scenario.sizes.ingresses
-    result = _measured(scenario, project, started, note, limit)
+    budget.check_resources(budget.estimate_needs(scenario, hollow_bytes), budget.Machine.current())
+    timeout_s = (
+        scenario.idle_s
+        + scenario.duration_s
+        + RUN_SLACK_S
+        + START_ALLOWANCE_PER_INGRESS_S * scenario.sizes.ingresses
+    )
+    result = _play_with_progress_bar(scenario, project, start_command, note, timeout_s)
     click.echo(f"saved {save(result, results).name}")
     measures = result.points[0].measures
     for name in sorted(measures):
         click.echo(f"{name} {measures[name]:g}")
-    broken = [name for name in VIOLATIONS if measures[name]]
-    if broken:
-        click.echo(f"error: not every request got its one final answer: {', '.join(broken)}", err=True)
-        sys.exit(VIOLATED)
+    violated = [name for name in VIOLATION_MEASURES if measures[name]]
+    if violated:
+        click.echo(f"error: not every request got its one final answer: {', '.join(violated)}", err=True)
+        sys.exit(EXIT_VIOLATED)
--- a/scale/commands/slopes.py
+++ b/scale/commands/slopes.py
@@ -1,4 +1,4 @@
-"""`python -m scale slopes`: sweeps of one size at a time, measured in child processes."""
+"""`python -m scale slopes`: sweep one size at a time, and measure each point in child processes."""
 
 from __future__ import annotations
 
@@ -66,13 +66,13 @@
     note: str,
     quickly: bool,
 ) -> None:
-    """Sweeps backends, ingresses, tenants, services and changes a second, one at a time."""
+    """Sweep backends, ingresses, tenants, services and changes a second, one at a time."""
     sweeps = [SWEEPS[name] for name in dimensions or SWEEPS]
     if quickly:
         sweeps = [quick(sweep) for sweep in sweeps]
     counter = CounterModel(calls_per_request=counter_capacity)
     runner = Runner(project, points_budget, counter, note)
-    results = _run(runner, sweeps, out)
+    results = _run_sweeps(runner, sweeps, out)
     console = Console(width=max(TABLE_WIDTH, Console().width))
     for result in results:
         console.print(sweep_table(result))
@@ -80,8 +80,8 @@
             console.print(ratio_table(result))
 
 
-def _run(runner: Runner, sweeps: list[Sweep], out: Path) -> list[Result]:
-    """Runs the sweeps one after another; each one's result is kept as soon as it is there."""
+def _run_sweeps(runner: Runner, sweeps: list[Sweep], out: Path) -> list[Result]:
+    """Run the sweeps one after another, and save each result as soon as its sweep is done."""
     results: list[Result] = []
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn())
     with Progress(*columns, console=Console(stderr=True)) as progress:
--- a/scale/errors.py
+++ b/scale/errors.py
@@ -1,5 +1,5 @@
-"""The errors that end a command with one line on stderr and exit code 2."""
+"""The base class of errors that end a command with one line on stderr and exit code 2."""
 
 
 class ScaleError(Exception):
-    """Something that the user can put right; the message is one line."""
+    """An error that the user can correct; its message is one line."""
--- a/scale/experiment/__init__.py
+++ b/scale/experiment/__init__.py
@@ -1,1 +1,1 @@
-"""One run of a scenario: the processes, the timeline of events, and the measures."""
+"""Run one scenario: its processes, its timeline of events, and its measures."""
--- a/scale/experiment/backends_process.py
+++ b/scale/experiment/backends_process.py
@@ -1,4 +1,4 @@
-"""The process of all backends."""
+"""The child process that serves all backends."""
 
 from __future__ import annotations
 
@@ -13,32 +13,32 @@
     SilentBackends,
     StartBackends,
 )
-from scale.experiment.pipe import commands, run_child, send
+from scale.experiment.pipe import receive_commands, run_child, send_message
 from scale.standins.backends import BackendServer
 
 
 async def serve() -> None:
-    """Serves backends as the runner commands."""
+    """Serve backends and carry out the commands of the runner."""
     backends: list[BackendServer] = []
-    async for message in commands():
+    async for message in receive_commands():
         match message:
             case StartBackends():
                 rng = random.Random(message.seed)
                 backends = [BackendServer(message.model, rng) for _ in range(message.listeners)]
-                send(Ready(addresses=[await backend.listen() for backend in backends]))
+                send_message(Ready(addresses=[await backend.listen() for backend in backends]))
             case SilentBackends():
                 for listener in message.listeners:
                     backends[listener].set_silent(message.silent)
             case ColdBackend():
                 backends[message.listener].start_cold(message.started)
             case Finish():
-                send(_report(backends))
+                send_message(_make_report(backends))
                 break
     for backend in backends:
         backend.close()
 
 
-def _report(backends: list[BackendServer]) -> BackendsReport:
+def _make_report(backends: list[BackendServer]) -> BackendsReport:
     counts = [backend.counts for backend in backends]
     return BackendsReport(
         commands=sum(c.commands for c in counts),
--- a/scale/experiment/change_delays.py
+++ b/scale/experiment/change_delays.py
@@ -1,4 +1,4 @@
-"""The time from a change of the list until the ingresses act on it."""
+"""The delay from a change of the endpoint list until the ingresses act on it."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from scale.experiment.messages import Incarnation
 from scale.standins.registry import Published
 
-IN_FORCE_LIMIT_S = 4.0  # in which a change is to be in force everywhere
+IN_FORCE_LIMIT_S = 4.0  # time within which every ingress is to act on a change
 
 
 @dataclass(frozen=True, slots=True)
@@ -18,62 +18,68 @@
     """The delays of all changes at all ingresses."""
 
     delays: list[float]  # s
-    missing: int  # pairs of a change and an ingress that never acted on it
-    in_force_share: float  # of the changes: in force everywhere in time
+    missing_count: int  # pairs of a change and an ingress that did not act on it
+    in_force_share: float  # share of the changes that all ingresses acted on in time
 
 
 @dataclass(slots=True)
-class _DelaysOfChange:
-    """The delays of one change."""
+class _SingleChangeDelays:
+    """The delays of one change at all ingresses."""
 
     delays: list[float] = field(default_factory=list)  # s
-    missing: int = 0
+    missing_count: int = 0
 
     @property
     def is_in_time(self) -> bool:
-        return not self.missing and all(delay <= IN_FORCE_LIMIT_S for delay in self.delays)
+        return not self.missing_count and all(delay <= IN_FORCE_LIMIT_S for delay in self.delays)
 
 
-def change_delays(
-    published: Iterable[Published], incarnations: Sequence[Incarnation], until: float
+def measure_change_delays(
+    published: Iterable[Published], incarnations: Sequence[Incarnation], observed_until: float
 ) -> ChangeDelays:
-    """Each ingress that runs as a change is published, and until it acts on it, gives one delay.
+    """Return the delays of all published changes at all incarnations of the ingresses.
 
-    One that ended before it acted is left out; one that ran on to `until` and did not act is missing.
+    An incarnation counts for a change if it runs when the change is published.  One that ended before it
+    acted on the change is left out; one that still ran at `observed_until` without having acted is missing.
     """
-    changes = [_delays_of(change, incarnations, until) for change in published]
+    changes = [_measure_delays_of(change, incarnations, observed_until) for change in published]
     in_time = sum(change.is_in_time for change in changes)
     return ChangeDelays(
         delays=[delay for change in changes for delay in change.delays],
-        missing=sum(change.missing for change in changes),
+        missing_count=sum(change.missing_count for change in changes),
         in_force_share=in_time / len(changes) if changes else 1.0,
     )
 
 
-def _delays_of(change: Published, incarnations: Sequence[Incarnation], until: float) -> _DelaysOfChange:
-    found = _DelaysOfChange()
+def _measure_delays_of(
+    change: Published, incarnations: Sequence[Incarnation], observed_until: float
+) -> _SingleChangeDelays:
+    result = _SingleChangeDelays()
     for incarnation in incarnations:
-        ended = until if incarnation.ended is None else incarnation.ended
-        if not incarnation.started <= change.at < ended:
+        ended_at = observed_until if incarnation.ended is None else incarnation.ended
+        if not incarnation.started <= change.at < ended_at:
             continue
-        acted_at = _acted_at(incarnation, change)
+        acted_at = _find_acted_at(incarnation, change)
         if acted_at is not None:
-            found.delays.append(acted_at - change.at)
-        elif ended >= until:
-            found.missing += 1
-    return found
+            result.delays.append(acted_at - change.at)
+        elif ended_at >= observed_until:
+            result.missing_count += 1
+    return result
 
 
-def _acted_at(incarnation: Incarnation, change: Published) -> float | None:
-    """When an ingress first acted on a change or on a later one; None if it never did."""
+def _find_acted_at(incarnation: Incarnation, change: Published) -> float | None:
+    """Return when an ingress first acted on a change or on a later one, or None if it never did."""
     return next(
         (at for version, at in incarnation.acted if version >= change.version and at >= change.at), None
     )
 
 
 def change_measures(delays: ChangeDelays, prefix: str = "") -> dict[str, float]:
-    """The measures of the time from a change until every ingress acts on it."""
-    measures = {"change_missing": float(delays.missing), "change_in_force_4s_share": delays.in_force_share}
+    """Return the measures of the delays, each name with the prefix."""
+    measures = {
+        "change_missing": float(delays.missing_count),
+        "change_in_force_4s_share": delays.in_force_share,
+    }
     if delays.delays:
         p50, p99 = np.percentile(delays.delays, [50, 99])
         measures |= {
--- a/scale/experiment/child.py
+++ b/scale/experiment/child.py
@@ -1,4 +1,4 @@
-"""The runner's side of a child process: start, messages, CPU and memory, end."""
+"""The runner's side of a child process: its start, messages, CPU time, memory and end."""
 
 from __future__ import annotations
 
@@ -16,16 +16,16 @@
 from scale.experiment.messages import FROM_CHILD, Failed, Message
 from scale.experiment.pipe import MAX_LINE_BYTES
 
-END_LIMIT_S = 2.0  # for a child to end once its pipe is closed
+EXIT_TIMEOUT_S = 2.0  # for a child to exit once its pipe is closed
 M = TypeVar("M", bound=Message)
 
 
 class ChildFailedError(ScaleError):
-    """A child process has failed or does not answer."""
+    """A child process has failed or does not answer in time."""
 
 
 class Child:
-    """One child process."""
+    """A child process that exchanges messages with the runner over pipes."""
 
     def __init__(self, name: str, process: asyncio.subprocess.Process) -> None:
         self.name = name
@@ -34,7 +34,7 @@
 
     @classmethod
     async def spawn(cls, name: str, module: str, *arguments: Path) -> Child:
-        """Starts a module of this package as a process."""
+        """Start a module of this package as a process."""
         environment = os.environ | {"PYTHONPATH": str(TOOL_ROOT), "PYTHONDONTWRITEBYTECODE": "1"}
         process = await asyncio.create_subprocess_exec(
             sys.executable,
@@ -50,7 +50,7 @@
         return cls(name, process)
 
     async def send(self, message: Message) -> None:
-        """Sends a message; a child that is gone is an error."""
+        """Send a message; raise ChildFailedError if the child has exited."""
         assert self.process.stdin is not None
         try:
             self.process.stdin.write(message.model_dump_json().encode() + b"\n")
@@ -58,13 +58,13 @@
         except (ConnectionError, RuntimeError):
             raise ChildFailedError(f"{self.name}: ended early") from None
 
-    async def receive(self, kind: type[M], limit: float) -> M:
-        """The child's next message, which must be of this kind."""
+    async def receive(self, kind: type[M], timeout_s: float) -> M:
+        """Return the child's next message; raise ChildFailedError if it is late or of another class."""
         assert self.process.stdout is not None
         try:
-            line = await asyncio.wait_for(self.process.stdout.readline(), limit)
+            line = await asyncio.wait_for(self.process.stdout.readline(), timeout_s)
         except TimeoutError:
-            raise ChildFailedError(f"{self.name}: no {kind.__name__} within {limit:g} s") from None
+            raise ChildFailedError(f"{self.name}: no {kind.__name__} within {timeout_s:g} s") from None
         if not line:
             raise ChildFailedError(f"{self.name}: ended without {kind.__name__}")
         message = FROM_CHILD.validate_json(line)
@@ -74,25 +74,25 @@
             raise ChildFailedError(f"{self.name}: {message.kind} came in place of {kind.__name__}")
         return message
 
-    def cpu_s(self) -> float:
-        """CPU time so far."""
+    def measure_cpu_s(self) -> float:
+        """Return the CPU seconds used so far, or 0 once the process has exited."""
         with contextlib.suppress(psutil.Error):
             times = self.monitor.cpu_times()
             return float(times.user + times.system)
         return 0.0
 
-    def resident(self) -> int:
-        """Resident bytes."""
+    def measure_resident_bytes(self) -> int:
+        """Return the resident memory, or 0 once the process has exited."""
         with contextlib.suppress(psutil.Error):
             return int(self.monitor.memory_info().rss)
         return 0
 
     async def close(self) -> None:
-        """Closes the pipe, and kills the child if it does not end by that."""
+        """Close the pipe, and kill the child if it does not exit in time."""
         if self.process.stdin is not None:
             self.process.stdin.close()
         try:
-            await asyncio.wait_for(self.process.wait(), END_LIMIT_S)
+            await asyncio.wait_for(self.process.wait(), EXIT_TIMEOUT_S)
         except TimeoutError:
             with contextlib.suppress(ProcessLookupError):
                 self.process.kill()
--- a/scale/experiment/clients_process.py
+++ b/scale/experiment/clients_process.py
@@ -1,4 +1,4 @@
-"""The process of all clients of the real ingresses."""
+"""The child process that simulates all clients of the real ingresses."""
 
 from __future__ import annotations
 
@@ -15,26 +15,26 @@
     Ready,
     StartClients,
 )
-from scale.experiment.pipe import commands, run_child, send
+from scale.experiment.pipe import receive_commands, run_child, send_message
 from scale.standins.client_requests import ClientCounts
 from scale.standins.clients import ANSWER_SLACK_S, Client
 from scale.standins.histograms import Times
 
-SEED_STEP = 7919  # between the seeds of two ingresses
+SEED_STEP = 7919  # difference between the seeds of the clients of two ingresses
 
 
 async def serve() -> None:
-    """Plays clients as the runner commands."""
+    """Simulate clients and carry out the commands of the runner."""
     clients: dict[int, Client] = {}
-    limit = 0.0
-    async for message in commands():
+    finish_timeout_s = 0.0
+    async for message in receive_commands():
         match message:
             case StartClients():
-                limit = max(c.deadline_s for c in message.scenario.classes) + ANSWER_SLACK_S
+                finish_timeout_s = max(c.deadline_s for c in message.scenario.classes) + ANSWER_SLACK_S
                 for number, address in enumerate(message.addresses, message.first_number):
                     seed = message.scenario.seed + SEED_STEP * number
                     clients[number] = Client(message.scenario, number, address, seed)
-                send(Ready())
+                send_message(Ready())
             case Load():
                 for client in clients.values():
                     client.start()
@@ -43,12 +43,12 @@
             case ClientRestarting():
                 clients[message.ingress].is_restarting = message.restarting
             case Finish():
-                await asyncio.gather(*(client.finish(limit) for client in clients.values()))
-                send(_report(list(clients.values())))
+                await asyncio.gather(*(client.finish(finish_timeout_s) for client in clients.values()))
+                send_message(_make_report(list(clients.values())))
                 break
 
 
-def _report(clients: list[Client]) -> ClientsReport:
+def _make_report(clients: list[Client]) -> ClientsReport:
     counts = ClientCounts()
     latency = Times()
     added = Times()
--- a/scale/experiment/cold_load.py
+++ b/scale/experiment/cold_load.py
@@ -1,4 +1,4 @@
-"""The load of cold backends, counted in windows, over what overloads them."""
+"""The load of cold backends, counted in windows, relative to the load that overloads them."""
 
 from __future__ import annotations
 
@@ -8,29 +8,35 @@
 from scale.standins.backend_queue import COLD_WINDOW_S, capacity_at
 
 
-def cold_peak_ratio(model: BackendModel, cold: dict[str, dict[int, float]]) -> float:
-    """The most that any cold backend was sent within the overload window, over what overloads it.
+def cold_peak_ratio(model: BackendModel, units_by_start: dict[str, dict[int, float]]) -> float:
+    """Return the highest ratio, over all cold backends, of the units sent to the units that overload one.
 
-    `cold` holds units by window for each start, named ID@UNIX_TIME.
+    Both are sums over the overload window.  `units_by_start` holds the units by counting window for each
+    start, whose key is ID@UNIX_TIME.
     """
-    length = max(1, round(model.fall_s / COLD_WINDOW_S))
-    most = 0.0
-    for key, windows in cold.items():
+    window_count = max(1, round(model.fall_s / COLD_WINDOW_S))
+    max_ratio = 0.0
+    for key, windows in units_by_start.items():
         started = float(key.rpartition("@")[2])
-        for last in windows:
-            sent = sum(windows.get(window, 0.0) for window in range(last - length + 1, last + 1))
-            ages = [(window + 0.5) * COLD_WINDOW_S - started for window in range(last - length + 1, last + 1)]
-            budget = model.fall_factor * sum(capacity_at(model, age) for age in ages) * COLD_WINDOW_S
-            most = max(most, sent / budget)
-    return most
-
-
-def merge_cold(parts: Iterable[dict[str, dict[int, float]]]) -> dict[str, dict[int, float]]:
-    """Sums the units that the processes have counted."""
+        for last_window in windows:
+            sent_units = sum(
+                windows.get(window, 0.0) for window in range(last_window - window_count + 1, last_window + 1)
+            )
+            ages = [
+                (window + 0.5) * COLD_WINDOW_S - started
+                for window in range(last_window - window_count + 1, last_window + 1)
+            ]
+            unit_budget = model.fall_factor * sum(capacity_at(model, age) for age in ages) * COLD_WINDOW_S
+            max_ratio = max(max_ratio, sent_units / unit_budget)
+    return max_ratio
+
+
+def merge_cold_units(units_by_worker: Iterable[dict[str, dict[int, float]]]) -> dict[str, dict[int, float]]:
+    """Return the sums of the units that the processes have counted."""
     merged: dict[str, dict[int, float]] = {}
-    for part in parts:
-        for key, windows in part.items():
-            into = merged.setdefault(key, {})
+    for worker_units in units_by_worker:
+        for key, windows in worker_units.items():
+            merged_windows = merged.setdefault(key, {})
             for window, units in windows.items():
-                into[window] = into.get(window, 0.0) + units
+                merged_windows[window] = merged_windows.get(window, 0.0) + units
     return merged
--- a/scale/experiment/fleet.py
+++ b/scale/experiment/fleet.py
@@ -1,4 +1,4 @@
-"""The backends of a run as discovery lists them: ids, zones, listeners and starts."""
+"""The backends of a run as discovery lists them: their ids, zones, listeners and start times."""
 
 from __future__ import annotations
 
@@ -10,61 +10,61 @@
 from scale.scenario import Scenario
 from scale.standins.registry import Entry, State
 
-NOWHERE: Address = ("127.0.0.1", 9)  # of backends that nobody connects to
-MACHINE = "std"
-CELL_SIZE = 4  # backends of one cell
+UNUSED_ADDRESS: Address = ("127.0.0.1", 9)  # the listed address of backends to which nobody connects
+BACKEND_KIND = "std"
+CELL_SIZE = 4  # backends in one cell
 
 
 @dataclass(slots=True)
 class Slot:
-    """The place of one backend: who holds it now, and since when (0: long ago)."""
+    """The place of one backend in the fleet, with the backend that holds it now."""
 
     number: int
     zone: str
-    listener: int | None  # the index of its listener; None where no real ingress connects to backends
+    listener: int | None  # index of the listener; None where no real ingress connects to backends
     address: Address
-    generation: int = 0  # how many backends held the place before
-    started_ms: int = 0  # Unix time
+    generation: int = 0  # number of backends that held the place before
+    started_ms: int = 0  # Unix time; 0 for a backend that runs since before the scenario
     weight: float = 1.0
 
     @property
-    def id(self) -> str:
+    def backend_id(self) -> str:
         """The id of the backend that holds the place."""
         return f"b{self.number}-{self.generation}"
 
     @property
-    def cold_key(self) -> str:
-        """Names this start of this backend where cold loads are counted."""
-        return f"{self.id}@{self.started_ms / 1000:.3f}"
+    def cold_start_key(self) -> str:
+        """The key under which the load after this start of the backend is counted."""
+        return f"{self.backend_id}@{self.started_ms / 1000:.3f}"
 
-    def entry(self, state: State = "ready") -> Entry:
-        """The list's entry of the backend that holds the place."""
+    def make_entry(self, state: State = "ready") -> Entry:
+        """Return the entry in the endpoint list of the backend that holds the place."""
         return Entry(
-            self.id,
+            self.backend_id,
             self.address,
             self.zone,
             state,
             self.started_ms,
-            MACHINE,
+            BACKEND_KIND,
             self.number // CELL_SIZE,
             self.weight,
         )
 
-    def replace(self) -> None:
-        """A new backend takes the place."""
+    def replace_backend(self) -> None:
+        """Put a new backend, which has just started, in the place."""
         self.generation += 1
-        self.restart()
+        self.record_restart()
 
-    def restart(self) -> None:
-        """The backend starts anew."""
+    def record_restart(self) -> None:
+        """Record that the backend starts now."""
         self.started_ms = round(time.time() * 1000)
 
 
 def make_slots(scenario: Scenario, listeners: list[Address]) -> list[Slot]:
-    """The backends at the start; where there are fewer listeners than backends, these share them."""
+    """Return the initial backends, which share listeners where there are fewer of those."""
     slots = []
     for number in range(scenario.sizes.backends):
         listener = number % len(listeners) if listeners else None
-        address = NOWHERE if listener is None else listeners[listener]
+        address = UNUSED_ADDRESS if listener is None else listeners[listener]
         slots.append(Slot(number, zone_name(number % scenario.sizes.zones), listener, address))
     return slots
--- a/scale/experiment/hollow_process.py
+++ b/scale/experiment/hollow_process.py
@@ -1,4 +1,4 @@
-"""One worker: a process that plays many hollow ingresses, with the package of the measured project."""
+"""A worker: a child process that runs many hollow ingresses with the measured project's package."""
 
 from __future__ import annotations
 
@@ -7,30 +7,30 @@
 from pathlib import Path
 
 from scale.experiment.messages import Finish, Load, Ready, RestartHollow, SilentZone, StartHollow
-from scale.experiment.pipe import commands, run_child, send
+from scale.experiment.pipe import receive_commands, run_child, send_message
 
 
 def use_project(project: Path) -> None:
-    """Makes the measured project's package the one that is imported, whatever else is on the path."""
+    """Import `ingress` from the measured project, ahead of any other copy on the import path."""
     sys.path.insert(0, str(project))
     import ingress
 
-    found = Path(str(ingress.__file__)).resolve().parent.parent
-    if found != project.resolve():
+    imported_root = Path(str(ingress.__file__)).resolve().parent.parent
+    if imported_root != project.resolve():
         raise RuntimeError("the package of another checkout was imported")
     logging.getLogger("ingress").setLevel(logging.CRITICAL)
 
 
 async def serve() -> None:
-    """Plays hollow ingresses as the runner commands."""
+    """Run hollow ingresses and carry out the commands of the runner."""
     from scale.experiment.worker import Worker
 
     worker: Worker | None = None
-    async for message in commands():
+    async for message in receive_commands():
         if isinstance(message, StartHollow):
             worker = Worker(message)
             await worker.start()
-            send(Ready())
+            send_message(Ready())
             continue
         if worker is None:
             raise RuntimeError(f"{message.kind} came before the start")
@@ -38,11 +38,11 @@
             case Load():
                 worker.load()
             case SilentZone():
-                worker.silence(message.zone, message.silent)
+                worker.set_zone_silent(message.zone, message.silent)
             case RestartHollow():
                 await worker.restart(message.numbers)
             case Finish():
-                send(await worker.finish())
+                send_message(await worker.finish())
                 break
 
 
--- a/scale/experiment/lag.py
+++ b/scale/experiment/lag.py
@@ -1,4 +1,4 @@
-"""How late the event loop of a process is."""
+"""Measure the lag of a process's event loop."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 from scale.standins.histograms import Times
 
-PERIOD_S = 0.05  # between two samples
+SAMPLING_PERIOD_S = 0.05  # time between two samples
 
 
 class LagSampler:
-    """Records, at a fixed period, how long after its time the loop calls back."""
+    """Record at a fixed period how late the event loop runs a timer's callback."""
 
     def __init__(self, lag: Times) -> None:
         self._lag = lag
@@ -18,16 +18,16 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Begins with a sample at once."""
+        """Take the first sample at once, and further ones at the fixed period."""
         self._sample(self._loop.time())
 
     def stop(self) -> None:
-        """No further sample is taken."""
+        """Take no further samples."""
         if self._timer is not None:
             self._timer.cancel()
 
-    def _sample(self, due: float) -> None:
+    def _sample(self, due_at: float) -> None:
         now = self._loop.time()
-        self._lag.record(max(0.0, now - due))
-        at = now + PERIOD_S
-        self._timer = self._loop.call_at(at, self._sample, at)
+        self._lag.record(max(0.0, now - due_at))
+        next_at = now + SAMPLING_PERIOD_S
+        self._timer = self._loop.call_at(next_at, self._sample, next_at)
--- a/scale/experiment/launch.py
+++ b/scale/experiment/launch.py
@@ -1,4 +1,4 @@
-"""Starts the parts of a run; whatever happens, the run's exit stack ends them."""
+"""Start the parts of a run and register their clean-up with the run's exit stack."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 import structlog
 
 from scale.addresses import Address
-from scale.budget import listeners_of
+from scale.budget import count_listeners
 from scale.experiment.child import Child
 from scale.experiment.fleet import make_slots
 from scale.experiment.messages import Ready, StartBackends, StartClients, StartHollow
-from scale.experiment.parts import Parts, real_group
+from scale.experiment.parts import Parts, real_group_name
 from scale.real import RealIngress, RealSetup
 from scale.scenario import Scenario
 from scale.standins.agent import Agent
 from scale.standins.counter import CounterServer
 from scale.standins.registry import Registry
 
-START_LIMIT_S = 60.0  # for a child to be ready
-START_PER_INGRESS_S = 0.2  # beside that, for each hollow ingress
-HOLLOW_GROUP = "hollow"  # the agent's listener for all hollow ingresses
+START_TIMEOUT_S = 60.0  # for a child process to be ready
+START_TIMEOUT_PER_INGRESS_S = 0.2  # added to it for each hollow ingress
+HOLLOW_GROUP = "hollow"  # name of the agent's listener for all hollow ingresses
 
 
 class Launcher:
-    """Starts the parts of one run."""
+    """A launcher of the parts of one run: stand-ins, child processes and real ingresses."""
 
     def __init__(self, scenario: Scenario, project: Path, real_command: str, stack: AsyncExitStack) -> None:
         self._scenario = scenario
@@ -36,22 +36,24 @@
         self._log = structlog.get_logger().bind(scenario=scenario.name)
 
     async def start(self) -> Parts:
-        """Starts everything and waits until it is ready."""
+        """Start all parts and wait until they are ready."""
         backends, addresses = await self._start_backends()
         slots = make_slots(self._scenario, addresses)
-        agent = Agent(Registry(slot.entry() for slot in slots))
+        agent = Agent(Registry(slot.make_entry() for slot in slots))
         self._stack.callback(agent.close)
-        counter = self._counter()
+        counter = self._make_counter()
         known = agent.registry.body(None).decode()
         counter_address = await counter.listen()
         agent_address = await agent.listen(HOLLOW_GROUP)
         workers = await self._start_workers(agent_address, counter_address, known)
         real = await self._start_real(agent, counter_address, known)
         clients = await self._start_clients(real)
-        worker_of = {number: number % len(workers) for number in range(self._scenario.sizes.hollow)}
-        return Parts(agent, counter, slots, workers, worker_of, real, backends, clients)
+        worker_index_by_ingress = {
+            number: number % len(workers) for number in range(self._scenario.sizes.hollow)
+        }
+        return Parts(agent, counter, slots, workers, worker_index_by_ingress, real, backends, clients)
 
-    def _counter(self) -> CounterServer:
+    def _make_counter(self) -> CounterServer:
         model = self._scenario.counter
         ingresses = self._scenario.sizes.ingresses
         counter = CounterServer(model.parts, model.calls_per_s, model.queue, ingresses)
@@ -64,13 +66,13 @@
         return child
 
     async def _start_backends(self) -> tuple[Child | None, list[Address]]:
-        count = listeners_of(self._scenario)
+        count = count_listeners(self._scenario)
         if not count:
             return None, []
         child = await self._spawn("backends", "backends_process")
         start = StartBackends(listeners=count, model=self._scenario.backend, seed=self._scenario.seed)
         await child.send(start)
-        return child, (await child.receive(Ready, START_LIMIT_S)).addresses
+        return child, (await child.receive(Ready, START_TIMEOUT_S)).addresses
 
     async def _start_workers(self, agent: Address, counter: Address, known: str) -> list[Child]:
         sizes = self._scenario.sizes
@@ -85,7 +87,7 @@
             )
             await worker.send(start)
         for worker in workers:
-            await worker.receive(Ready, START_LIMIT_S + START_PER_INGRESS_S * sizes.hollow)
+            await worker.receive(Ready, START_TIMEOUT_S + START_TIMEOUT_PER_INGRESS_S * sizes.hollow)
         self._log.info("hollow ingresses are ready", hollow=sizes.hollow, workers=count)
         return workers
 
@@ -98,7 +100,7 @@
                 number,
                 self._project,
                 self._real_command,
-                await agent.listen(real_group(number)),
+                await agent.listen(real_group_name(number)),
                 counter,
                 known,
             )
@@ -115,5 +117,5 @@
         addresses = [ingress.address for _, ingress in sorted(real.items())]
         start = StartClients(scenario=self._scenario, first_number=min(real), addresses=addresses)
         await child.send(start)
-        await child.receive(Ready, START_LIMIT_S)
+        await child.receive(Ready, START_TIMEOUT_S)
         return child
--- a/scale/experiment/measures.py
+++ b/scale/experiment/measures.py
@@ -1,4 +1,4 @@
-"""The measures of a run, out of what its parts have counted."""
+"""Compute measures of a run from what its parts have counted."""
 
 from __future__ import annotations
 
@@ -9,46 +9,46 @@
 from scale.standins.histograms import Times
 
 
-def merge_times(encoded: Iterable[str]) -> Times:
-    """One histogram out of several."""
+def merge_times(encoded_histograms: Iterable[str]) -> Times:
+    """Merge encoded histograms into one."""
     times = Times()
-    for text in encoded:
+    for text in encoded_histograms:
         times.add_encoded(text)
     return times
 
 
 def share(part: float, whole: float) -> float:
-    """A ratio, 0 of nothing."""
+    """Return a part's share of a whole, or 0 where the whole is 0."""
     return part / whole if whole else 0.0
 
 
 def outcome_measures(hollow: Counter[str], clients: Counter[str]) -> dict[str, float]:
-    """The shares of the outcomes, over hollow and real ingresses, and the counts of violations."""
-    both = hollow + clients
-    failed = both["failed"] + both["forced"]
-    ended = both["served"] + both["refused"] + failed + both["lost"]
-    real_ended = sum(clients[key] for key in ("served", "refused", "failed", "lost"))
+    """Return the shares of the outcomes over all ingresses, and the counts of violations."""
+    totals = hollow + clients
+    failed = totals["failed"] + totals["forced"]
+    ended_count = totals["served"] + totals["refused"] + failed + totals["lost"]
+    real_ended_count = sum(clients[key] for key in ("served", "refused", "failed", "lost"))
     measures = {
-        "requests": float(both["requests"]),
-        "served_share": share(both["served"], ended),
-        "refused_share": share(both["refused"], ended),
-        "failed_share": share(failed, ended),
-        "forced": float(both["forced"]),
-        "cut_by_restart": float(both["cut"]),
-        "unreachable": float(both["unreachable"]),
-        "late": float(both["late"]),
-        "lost": float(both["lost"]),
-        "duplicated": float(both["duplicated"]),
-        "wrong": float(both["wrong"]),
+        "requests": float(totals["requests"]),
+        "served_share": share(totals["served"], ended_count),
+        "refused_share": share(totals["refused"], ended_count),
+        "failed_share": share(failed, ended_count),
+        "forced": float(totals["forced"]),
+        "cut_by_restart": float(totals["cut"]),
+        "unreachable": float(totals["unreachable"]),
+        "late": float(totals["late"]),
+        "lost": float(totals["lost"]),
+        "duplicated": float(totals["duplicated"]),
+        "wrong": float(totals["wrong"]),
     }
-    if real_ended:
-        measures["real_served_share"] = share(clients["served"], real_ended)
+    if real_ended_count:
+        measures["real_served_share"] = share(clients["served"], real_ended_count)
         measures["real_requests"] = float(clients["requests"])
     return measures
 
 
 def hollow_measures(reports: Sequence[HollowReport]) -> dict[str, float]:
-    """What the workers have measured in the decision module and at the counter's client."""
+    """Return what the workers measured in the decision module, the counter's client and their event loops."""
     counts = sum((Counter(report.counts) for report in reports), Counter())
     request_cpu = merge_times(report.request_cpu for report in reports)
     change_cpu = merge_times(report.change_cpu for report in reports)
--- a/scale/experiment/messages.py
+++ b/scale/experiment/messages.py
@@ -1,4 +1,4 @@
-"""The typed messages between the runner and its child processes, one JSON object a line."""
+"""The messages between the runner and its child processes, one JSON object a line."""
 
 from __future__ import annotations
 
@@ -11,13 +11,13 @@
 
 
 class Message(BaseModel):
-    """A message; its `kind` says which one."""
+    """The base class of the messages; the field `kind` identifies the class."""
 
     model_config = ConfigDict(extra="forbid")
 
 
 class StartBackends(Message):
-    """To the backends: open this many listeners."""
+    """Request to the backends' process to open a number of listeners."""
 
     kind: Literal["start_backends"] = "start_backends"
     listeners: int
@@ -26,7 +26,7 @@
 
 
 class StartClients(Message):
-    """To the clients: these are the real ingresses; their numbers begin at `first_number`."""
+    """Request to the clients' process to connect to the real ingresses, numbered from `first_number` on."""
 
     kind: Literal["start_clients"] = "start_clients"
     scenario: Scenario
@@ -35,7 +35,10 @@
 
 
 class StartHollow(Message):
-    """To a worker: play the ingresses of these numbers; `known` is the list in discovery's form."""
+    """Request to a worker to start the hollow ingresses of these numbers.
+
+    `known` is the initial endpoint list, as JSON text in the discovery agent's format.
+    """
 
     kind: Literal["start_hollow"] = "start_hollow"
     scenario: Scenario
@@ -46,13 +49,13 @@
 
 
 class Load(Message):
-    """Requests begin to arrive."""
+    """Request to a worker or to the clients' process to begin the load."""
 
     kind: Literal["load"] = "load"
 
 
 class SilentBackends(Message):
-    """These listeners are cut off, or back."""
+    """Request to the backends' process to make listeners stop answering, or answer again."""
 
     kind: Literal["silent_backends"] = "silent_backends"
     listeners: list[int]
@@ -60,15 +63,15 @@
 
 
 class ColdBackend(Message):
-    """The backend behind a listener has just been started."""
+    """Notice to the backends' process that the backend of a listener has just been started."""
 
     kind: Literal["cold_backend"] = "cold_backend"
     listener: int
-    started: float
+    started: float  # Unix time
 
 
 class SilentZone(Message):
-    """To a worker: the backends of a zone answer nothing, or do so again."""
+    """Notice to a worker that the backends of a zone stop answering, or answer again."""
 
     kind: Literal["silent_zone"] = "silent_zone"
     zone: str
@@ -76,14 +79,14 @@
 
 
 class RestartHollow(Message):
-    """To a worker: these of its ingresses end and start anew."""
+    """Request to a worker to restart some of its ingresses."""
 
     kind: Literal["restart_hollow"] = "restart_hollow"
     numbers: list[int]
 
 
 class PauseClient(Message):
-    """To the clients: an ingress restarts, or serves again."""
+    """Request to the clients' process to stop sending to an ingress, or to send to it again."""
 
     kind: Literal["pause_client"] = "pause_client"
     ingress: int
@@ -91,7 +94,7 @@
 
 
 class ClientRestarting(Message):
-    """To the clients: the process of an ingress is about to be killed, or has started again."""
+    """Notice to the clients' process that an ingress was killed for a restart, or has started again."""
 
     kind: Literal["client_restarting"] = "client_restarting"
     ingress: int
@@ -99,20 +102,20 @@
 
 
 class Finish(Message):
-    """The load ends: report and exit."""
+    """Request to a child to end the load, to report and to exit."""
 
     kind: Literal["finish"] = "finish"
 
 
 class Ready(Message):
-    """From a child: it is ready; the backends name their addresses."""
+    """Answer of a child that is ready; the backends' process gives the addresses of its listeners."""
 
     kind: Literal["ready"] = "ready"
     addresses: list[Address] = []
 
 
 class BackendsReport(Message):
-    """From the backends, at the end; `cold_units` is by listener and window."""
+    """Final report of the backends' process; `cold_units` holds units by listener and counting window."""
 
     kind: Literal["backends_report"] = "backends_report"
     commands: int
@@ -124,30 +127,30 @@
 
 
 class ClientsReport(Message):
-    """From the clients, at the end; times are encoded histograms."""
+    """Final report of the clients' process; `latency` and `added` are encoded histograms."""
 
     kind: Literal["clients_report"] = "clients_report"
     counts: dict[str, int]
     latency: str
-    added: str
+    added: str  # latency that the ingress added to the backend's
 
 
 class Incarnation(Message):
-    """One incarnation of a hollow ingress: when it started and ended, and when it acted on which version."""
+    """One incarnation of an ingress; all times are those of the monotonic clock."""
 
-    number: int
+    number: int  # of the ingress
     started: float
-    ended: float | None = None
-    acted: list[tuple[int, float]] = []
+    ended: float | None = None  # None while it runs
+    acted: list[tuple[int, float]] = []  # versions of the endpoint list, each with the time it was acted on
 
 
 class HollowReport(Message):
-    """From a worker, at the end; times are encoded histograms, monotonic clock."""
+    """Final report of a worker; the last four fields are encoded histograms of times."""
 
     kind: Literal["hollow_report"] = "hollow_report"
     counts: dict[str, int]
     incarnations: list[Incarnation]
-    cold_units: dict[str, dict[int, float]]
+    cold_units: dict[str, dict[int, float]]  # by start (ID@UNIX_TIME), then by counting window
     request_cpu: str
     change_cpu: str
     counter_wait: str
@@ -155,7 +158,7 @@
 
 
 class Failed(Message):
-    """From a child: it can't go on."""
+    """Notice of a child that it has failed and exits."""
 
     kind: Literal["failed"] = "failed"
     text: str
--- a/scale/experiment/parts.py
+++ b/scale/experiment/parts.py
@@ -1,4 +1,4 @@
-"""The parts of a run: stand-ins, processes and real ingresses."""
+"""The parts of a run: stand-ins, child processes and real ingresses."""
 
 from __future__ import annotations
 
@@ -14,33 +14,33 @@
 
 @dataclass(slots=True)
 class RealIncarnation:
-    """One incarnation of a real ingress: from a start of its process to the end of that process."""
+    """One incarnation of a real ingress, from the start of its process to the end of that process."""
 
-    number: int
+    number: int  # of the ingress
     started: float  # monotonic clock
     ended: float | None = None  # monotonic clock; None while it runs
 
 
 @dataclass(slots=True)
 class Parts:
-    """All that a run has started."""
+    """All parts that a run has started."""
 
     agent: Agent
     counter: CounterServer
-    slots: list[Slot]
+    slots: list[Slot]  # the backends
     workers: list[Child]
-    worker_of: dict[int, int]  # by the number of a hollow ingress: the index of its worker
-    real: dict[int, RealIngress]  # by number
-    backends: Child | None = None  # None where no real ingress connects to backends
-    clients: Child | None = None  # None where there is no real ingress
+    worker_index_by_ingress: dict[int, int]  # index of the worker, by the number of the hollow ingress
+    real_ingresses: dict[int, RealIngress]  # by the number of the ingress
+    backends_child: Child | None = None  # None where no real ingress connects to backends
+    clients_child: Child | None = None  # None where there is no real ingress
 
-    def loaded(self) -> Iterator[Child]:
-        """The children that make requests."""
+    def load_generators(self) -> Iterator[Child]:
+        """Yield the children that generate requests."""
         yield from self.workers
-        if self.clients is not None:
-            yield self.clients
+        if self.clients_child is not None:
+            yield self.clients_child
 
 
-def real_group(number: int) -> str:
-    """The name of the agent's listener for one real ingress."""
+def real_group_name(number: int) -> str:
+    """Return the name of the agent's listener for one real ingress."""
     return f"real-{number}"
--- a/scale/experiment/pipe.py
+++ b/scale/experiment/pipe.py
@@ -1,4 +1,4 @@
-"""A child's side of its pipe to the runner: commands on standard input, reports on standard output."""
+"""A child's side of its pipes to the runner: commands on standard input, reports on standard output."""
 
 from __future__ import annotations
 
@@ -10,18 +10,18 @@
 
 from scale.experiment.messages import TO_CHILD, Failed, Message, ToChild
 
-INTERRUPTED = 130  # exit code
-MAX_LINE_BYTES = 256 * 1024 * 1024  # a list of many backends in one message
+EXIT_INTERRUPTED = 130  # exit code after SIGINT
+MAX_LINE_BYTES = 256 * 1024 * 1024  # a message may hold an endpoint list of many backends
 
 
-def send(message: Message) -> None:
-    """Writes one message."""
+def send_message(message: Message) -> None:
+    """Write one message to the runner."""
     sys.stdout.write(message.model_dump_json() + "\n")
     sys.stdout.flush()
 
 
-async def commands() -> AsyncIterator[ToChild]:
-    """The runner's messages, until its end of the pipe closes."""
+async def receive_commands() -> AsyncIterator[ToChild]:
+    """Yield the runner's messages until it closes its end of the pipe."""
     reader = asyncio.StreamReader(limit=MAX_LINE_BYTES)
     loop = asyncio.get_running_loop()
     await loop.connect_read_pipe(lambda: asyncio.StreamReaderProtocol(reader), sys.stdin)
@@ -30,7 +30,7 @@
 
 
 async def _run_body(body: Callable[[], Awaitable[None]]) -> Exception | None:
-    """Runs a child's body; the error that ended it, whatever it is, for the runner to print."""
+    """Run a child's body and return the exception that ended it, or None."""
     (outcome,) = await asyncio.gather(body(), return_exceptions=True)
     if isinstance(outcome, Exception):
         return outcome
@@ -40,12 +40,12 @@
 
 
 def run_child(body: Callable[[], Awaitable[None]]) -> int:
-    """Runs a child; the exit code.  A failure is sent as one message; the end of its pipe ends it."""
+    """Run a child until its body ends, report a failure to the runner, and return the exit code."""
     try:
         error = uvloop.run(_run_body(body))
     except KeyboardInterrupt:
-        return INTERRUPTED
+        return EXIT_INTERRUPTED
     if error is None:
         return 0
-    send(Failed(text=f"{type(error).__name__}: {error}"))
+    send_message(Failed(text=f"{type(error).__name__}: {error}"))
     return 1
--- a/scale/experiment/runner.py
+++ b/scale/experiment/runner.py
@@ -1,4 +1,4 @@
-"""Plays one scenario: starts the parts, goes through the phases, ends everything, gives the result."""
+"""Run one scenario: start its parts, go through its phases, stop the parts and return the result."""
 
 from __future__ import annotations
 
@@ -25,41 +25,41 @@
 from scale.results import Point, Result, now
 from scale.scenario import Scenario
 
-SETTLE_LIMIT_S = 10.0  # after the load in which the last changes may be acted on
-REPORT_LIMIT_S = 60.0  # beyond the longest deadline for the last report
-PROGRESS_PERIOD_S = 0.1  # between two looks at the progress
+SETTLE_TIMEOUT_S = 10.0  # time after the load for the ingresses to act on the last changes
+REPORT_TIMEOUT_S = 60.0  # added to the longest deadline, for the last report
+PROGRESS_PERIOD_S = 0.1  # time between two checks or reports of progress
 BYTES_PER_MEGABYTE = 1e6
 MEASURE_DIGITS = 6  # decimals of a measure in a result
-Progress = Callable[[float], None]  # takes the seconds that have passed since its last call
+ProgressCallback = Callable[[float], None]  # is called with the seconds since the previous call
 
 
 @dataclass(frozen=True, slots=True)
-class Options:
-    """What a run is started with."""
+class RunOptions:
+    """The options of a run."""
 
     scenario: Scenario
     project: Path  # the checkout that is measured
-    real_command: str  # starts a real ingress
-    note: str = ""  # a remark that the result keeps
-    progress: Progress = lambda seconds: None
+    real_command: str  # shell command that starts a real ingress
+    note: str = ""  # remark that is stored with the result
+    progress: ProgressCallback = lambda seconds: None
 
 
-class Run:
+class ScenarioRun:
     """One run of a scenario."""
 
-    def __init__(self, options: Options) -> None:
+    def __init__(self, options: RunOptions) -> None:
         self._options = options
         self._scenario = options.scenario
         self._log = structlog.get_logger().bind(scenario=options.scenario.name)
 
     async def play(self) -> Result:
-        """The whole run; whatever happens, all that was started is ended."""
+        """Run the scenario and return its result; stop all started parts, also after a failure."""
         commit, dirty = commit_of(self._options.project)
         taken_at = now()
         started_at = time.monotonic()
         async with AsyncExitStack() as stack:
             with Observer(self._options.note) as observer:
-                record = await self._record(stack)
+                record = await self._run_phases(stack)
                 measures = run_measures(record)
         rounded = {key: round(value, MEASURE_DIGITS) for key, value in measures.items()}
         return Result(
@@ -70,64 +70,66 @@
             taken_at=taken_at,
             seconds=round(time.monotonic() - started_at, 2),
             environment=observer.result(),
-            points=[Point(sizes=_sizes(self._scenario), measures=rounded)],
+            points=[Point(sizes=_result_sizes(self._scenario), measures=rounded)],
             events=record.timeline.events,
         )
 
-    async def _record(self, stack: AsyncExitStack) -> RunRecord:
-        """Starts the parts and goes through the phases: idle, load, the last changes, the reports."""
+    async def _run_phases(self, stack: AsyncExitStack) -> RunRecord:
+        """Start the parts, and go through the idle phase, the load, the last changes and the reports."""
         launcher = Launcher(self._scenario, self._options.project, self._options.real_command, stack)
         parts = await launcher.start()
         timeline = Timeline(self._scenario, parts)
-        timeline.real_incarnations = [RealIncarnation(number, time.monotonic()) for number in parts.real]
-        idle = await self._idle(parts)
-        load = await self._load(timeline)
-        resident = _resident(parts, self._scenario.sizes.hollow)
-        await self._settle(parts)
-        until = time.monotonic()
-        longest_deadline = max(cls.deadline_s for cls in self._scenario.classes)
-        reports = await collect_reports(parts, longest_deadline + REPORT_LIMIT_S)
-        return RunRecord(self._scenario, timeline, reports, idle, load, resident, until)
-
-    async def _idle(self, parts: Parts) -> Phase:
+        timeline.real_incarnations = [
+            RealIncarnation(number, time.monotonic()) for number in parts.real_ingresses
+        ]
+        idle = await self._run_idle_phase(parts)
+        load = await self._run_load_phase(timeline)
+        resident_measures = _resident_measures(parts, self._scenario.sizes.hollow)
+        await self._wait_for_watches(parts)
+        observed_until = time.monotonic()
+        longest_deadline_s = max(cls.deadline_s for cls in self._scenario.classes)
+        reports = await collect_reports(parts, longest_deadline_s + REPORT_TIMEOUT_S)
+        return RunRecord(self._scenario, timeline, reports, idle, load, resident_measures, observed_until)
+
+    async def _run_idle_phase(self, parts: Parts) -> Phase:
         self._log.info("idle", seconds=self._scenario.idle_s)
         start = take_sample(parts)
-        await self._wait(self._scenario.idle_s)
+        await self._wait_reporting_progress(self._scenario.idle_s)
         return Phase(start, take_sample(parts))
 
-    async def _wait(self, seconds: float) -> None:
-        """Waits, and reports the progress meanwhile."""
+    async def _wait_reporting_progress(self, seconds: float) -> None:
+        """Wait for a number of seconds, and report the progress meanwhile."""
         started_at = last = time.monotonic()
         while (left := seconds - (time.monotonic() - started_at)) > 0:
             await asyncio.sleep(min(PROGRESS_PERIOD_S, left))
             self._options.progress(time.monotonic() - last)
             last = time.monotonic()
 
-    async def _load(self, timeline: Timeline) -> Phase:
-        """The load with its events; they have begun before its end, and are waited for."""
+    async def _run_load_phase(self, timeline: Timeline) -> Phase:
+        """Run the load and its events; wait beyond `duration_s` for events that are not done by then."""
         self._log.info("load", seconds=self._scenario.duration_s)
         start = take_sample(timeline.parts)
-        for child in timeline.parts.loaded():
+        for child in timeline.parts.load_generators():
             await child.send(Load())
         try:
             async with asyncio.TaskGroup() as group:
                 group.create_task(timeline.play())
-                group.create_task(self._wait(self._scenario.duration_s))
+                group.create_task(self._wait_reporting_progress(self._scenario.duration_s))
         except* ScaleError as errors:
-            raise _first(errors) from None
+            raise _first_error(errors) from None
         return Phase(start, take_sample(timeline.parts))
 
-    async def _settle(self, parts: Parts) -> None:
-        """Waits until every watch has come back for what follows the last change."""
-        last = time.monotonic() + SETTLE_LIMIT_S
-        while time.monotonic() < last:
-            running = sum(ingress.running for ingress in parts.real.values())
-            if parts.agent.current_watches() >= self._scenario.sizes.hollow + running:
+    async def _wait_for_watches(self, parts: Parts) -> None:
+        """Wait until every ingress watches from the newest version, which shows that it has acted on it."""
+        give_up_at = time.monotonic() + SETTLE_TIMEOUT_S
+        while time.monotonic() < give_up_at:
+            running_count = sum(ingress.is_running for ingress in parts.real_ingresses.values())
+            if parts.agent.current_watches() >= self._scenario.sizes.hollow + running_count:
                 return
             await asyncio.sleep(PROGRESS_PERIOD_S)
 
 
-def _sizes(scenario: Scenario) -> dict[str, float]:
+def _result_sizes(scenario: Scenario) -> dict[str, float]:
     sizes = scenario.sizes
     return {
         "backends": sizes.backends,
@@ -143,20 +145,20 @@
     }
 
 
-def _resident(parts: Parts, hollow: int) -> dict[str, float]:
-    """The measures of resident memory: the mean of a hollow ingress, the largest real one."""
+def _resident_measures(parts: Parts, hollow: int) -> dict[str, float]:
+    """Return the measures of resident memory: the mean of the hollow ingresses, the largest real one."""
     measures: dict[str, float] = {}
     if parts.workers:
-        total = sum(worker.resident() for worker in parts.workers)
+        total = sum(worker.measure_resident_bytes() for worker in parts.workers)
         measures["resident_mb"] = total / BYTES_PER_MEGABYTE / hollow
-    if parts.real:
-        largest = max(ingress.usage().resident for ingress in parts.real.values())
+    if parts.real_ingresses:
+        largest = max(ingress.measure_usage().resident_bytes for ingress in parts.real_ingresses.values())
         measures["real_resident_mb"] = largest / BYTES_PER_MEGABYTE
     return measures
 
 
-def _first(errors: BaseExceptionGroup[ScaleError]) -> ScaleError:
-    """The first error of a group, however deep."""
+def _first_error(errors: BaseExceptionGroup[ScaleError]) -> ScaleError:
+    """Return the first error of a group, which may be nested."""
     error: BaseException = errors
     while isinstance(error, BaseExceptionGroup):
         error = error.exceptions[0]
@@ -164,14 +166,14 @@
     return error
 
 
-async def play(options: Options, limit_s: float) -> Result:
-    """Plays a scenario, bounded in time; SIGTERM ends it as Ctrl-C does.  ScaleError if it fails."""
+async def play_scenario(options: RunOptions, timeout_s: float) -> Result:
+    """Run a scenario; raise ScaleError on a failure or a timeout.  SIGTERM ends the run as Ctrl-C does."""
     task = asyncio.current_task()
     assert task is not None
     with contextlib.suppress(RuntimeError, ValueError):
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     try:
-        async with asyncio.timeout(limit_s):
-            return await Run(options).play()
+        async with asyncio.timeout(timeout_s):
+            return await ScenarioRun(options).play()
     except TimeoutError:
-        raise ScaleError(f"the run did not end within {limit_s:g} s") from None
+        raise ScaleError(f"the run did not end within {timeout_s:g} s") from None
--- a/scale/experiment/samples.py
+++ b/scale/experiment/samples.py
@@ -1,4 +1,4 @@
-"""Samples of a run's counters, and the measures of control traffic between two of them."""
+"""Samples of a run's totals, and the measures of control traffic between two samples."""
 
 from __future__ import annotations
 
@@ -10,32 +10,32 @@
 
 @dataclass(frozen=True, slots=True)
 class Sample:
-    """Counts that only grow, at one moment."""
+    """The totals since the start of the run, at one time."""
 
     at: float  # monotonic clock
     discovery_calls: int
-    whole_lists: int
+    whole_lists: int  # answers of discovery that held the whole list
     counter_calls: int
-    control_bytes: int
+    control_bytes: int  # of discovery and the counter, in both directions
     worker_cpu_s: float
     real_cpu_s: float
 
 
 @dataclass(frozen=True, slots=True)
 class Phase:
-    """A phase of a run: the samples at its two ends."""
+    """A phase of a run: the samples at its start and its end."""
 
     start: Sample
     end: Sample
 
     @property
-    def seconds(self) -> float:
-        """How long it took."""
+    def duration_s(self) -> float:
+        """The length of the phase in seconds."""
         return self.end.at - self.start.at
 
 
 def take_sample(parts: Parts) -> Sample:
-    """The counts as they are now."""
+    """Return the present totals."""
     groups = parts.agent.counts.values()
     counter = parts.counter.counts
     discovery_bytes = sum(group.bytes_in + group.bytes_out for group in groups)
@@ -45,38 +45,41 @@
         whole_lists=sum(group.whole_lists for group in groups),
         counter_calls=counter.calls,
         control_bytes=discovery_bytes + counter.bytes_in + counter.bytes_out,
-        worker_cpu_s=sum(worker.cpu_s() for worker in parts.workers),
-        real_cpu_s=sum(ingress.usage().cpu_s for ingress in parts.real.values()),
+        worker_cpu_s=sum(worker.measure_cpu_s() for worker in parts.workers),
+        real_cpu_s=sum(ingress.measure_usage().cpu_s for ingress in parts.real_ingresses.values()),
     )
 
 
 def control_measures(idle: Phase, load: Phase, hollow: int, real: int) -> dict[str, float]:
-    """Control traffic and control CPU: rates of the phase under load, CPU of the idle phase."""
-    return _traffic(idle, load, hollow + real) | _processor_time(idle, load, hollow, real)
+    """Return the measures of control traffic and of the CPU time that it takes.
 
+    The shares of control CPU come from the idle phase, in which no requests arrive.
+    """
+    return _traffic_measures(idle, load, hollow + real) | _cpu_measures(idle, load, hollow, real)
 
-def _traffic(idle: Phase, load: Phase, ingresses: int) -> dict[str, float]:
+
+def _traffic_measures(idle: Phase, load: Phase, ingresses: int) -> dict[str, float]:
     start = load.start
     end = load.end
     idle_bytes = idle.end.control_bytes - idle.start.control_bytes
     idle_calls = idle.end.discovery_calls - idle.start.discovery_calls
     return {
-        "discovery_calls_per_s": (end.discovery_calls - start.discovery_calls) / load.seconds,
+        "discovery_calls_per_s": (end.discovery_calls - start.discovery_calls) / load.duration_s,
         "discovery_whole_lists": float(end.whole_lists - start.whole_lists),
-        "counter_calls_per_s_fleet": (end.counter_calls - start.counter_calls) / load.seconds,
-        "control_bytes_per_s": (end.control_bytes - start.control_bytes) / load.seconds / ingresses,
-        "idle_control_bytes_per_s": idle_bytes / idle.seconds / ingresses,
-        "idle_discovery_calls_per_s": idle_calls / idle.seconds,
+        "counter_calls_per_s_fleet": (end.counter_calls - start.counter_calls) / load.duration_s,
+        "control_bytes_per_s": (end.control_bytes - start.control_bytes) / load.duration_s / ingresses,
+        "idle_control_bytes_per_s": idle_bytes / idle.duration_s / ingresses,
+        "idle_discovery_calls_per_s": idle_calls / idle.duration_s,
     }
 
 
-def _processor_time(idle: Phase, load: Phase, hollow: int, real: int) -> dict[str, float]:
+def _cpu_measures(idle: Phase, load: Phase, hollow: int, real: int) -> dict[str, float]:
     measures = {}
     if hollow:
         idle_cpu_s = idle.end.worker_cpu_s - idle.start.worker_cpu_s
-        measures["control_cpu_share"] = idle_cpu_s / idle.seconds / hollow
-        measures["worker_cores"] = (load.end.worker_cpu_s - load.start.worker_cpu_s) / load.seconds
+        measures["control_cpu_share"] = idle_cpu_s / idle.duration_s / hollow
+        measures["worker_cores"] = (load.end.worker_cpu_s - load.start.worker_cpu_s) / load.duration_s
     if real:
         idle_cpu_s = idle.end.real_cpu_s - idle.start.real_cpu_s
-        measures["real_control_cpu_share"] = idle_cpu_s / idle.seconds / real
+        measures["real_control_cpu_share"] = idle_cpu_s / idle.duration_s / real
     return measures
--- a/scale/experiment/settings.py
+++ b/scale/experiment/settings.py
@@ -1,4 +1,4 @@
-"""The settings of the ingresses of a scenario, in the form that an ingress reads."""
+"""The settings of the ingresses of a scenario, as the JSON object that an ingress reads."""
 
 from __future__ import annotations
 
@@ -8,16 +8,16 @@
 from scale.standins.traffic import MAX_UNITS
 
 TICK_S = 0.002
-MEMORY_MB = 192  # limit of a real ingress
-SOCKETS = 1024  # limit of a real ingress
+REAL_INGRESS_MEMORY_MB = 192  # memory limit of a real ingress
+REAL_INGRESS_SOCKETS = 1024  # socket limit of a real ingress
 
 
 def zone_name(number: int) -> str:
-    """The name of a zone."""
+    """Return the name of a zone."""
     return f"zone-{number}"
 
 
-def _category(request_class: ClassModel) -> dict[str, Any]:
+def _category_settings(request_class: ClassModel) -> dict[str, Any]:
     return {
         "name": request_class.name,
         "aim-s": request_class.aim_s,
@@ -31,7 +31,7 @@
     }
 
 
-def _contract(plan: PlanModel) -> dict[str, Any]:
+def _contract_settings(plan: PlanModel) -> dict[str, Any]:
     return {
         "name": plan.name,
         "refill": plan.rate,
@@ -46,7 +46,7 @@
     }
 
 
-def _limits(backend: BackendModel) -> dict[str, Any]:
+def _limit_settings(backend: BackendModel) -> dict[str, Any]:
     return {
         "max-attempts": 4,
         "second-copies": False,
@@ -60,7 +60,7 @@
     }
 
 
-def _rules(backend: BackendModel) -> dict[str, Any]:
+def _rule_settings(backend: BackendModel) -> dict[str, Any]:
     return {
         "answer-slack-s": 0.05,
         "drain-grace-s": backend.drain_s,
@@ -72,7 +72,7 @@
     }
 
 
-def _counter(counter: CounterModel) -> dict[str, Any]:
+def _counter_settings(counter: CounterModel) -> dict[str, Any]:
     return {
         "counter": True,
         "count-wait-s": counter.timeout_ms / 1000,
@@ -83,18 +83,18 @@
     }
 
 
-def settings_of(scenario: Scenario, number: int) -> dict[str, Any]:
-    """The settings of one ingress."""
+def ingress_settings(scenario: Scenario, number: int) -> dict[str, Any]:
+    """Return the settings of one ingress."""
     return {
         "balancers": scenario.sizes.ingresses,
         "self-index": number,
         "zone": zone_name(number % scenario.sizes.zones),
         "tick-s": TICK_S,
         "membership-mode": scenario.membership,
-        "categories": [_category(request_class) for request_class in scenario.classes],
-        "contracts": [_contract(plan) for plan in scenario.plans],
-        "limits": _limits(scenario.backend),
-        "rules": _rules(scenario.backend),
-        "family-info": _counter(scenario.counter),
+        "categories": [_category_settings(request_class) for request_class in scenario.classes],
+        "contracts": [_contract_settings(plan) for plan in scenario.plans],
+        "limits": _limit_settings(scenario.backend),
+        "rules": _rule_settings(scenario.backend),
+        "family-info": _counter_settings(scenario.counter),
         "report": {"columns": ["active"], "how": "answers"},
     }
--- a/scale/experiment/timeline.py
+++ b/scale/experiment/timeline.py
@@ -1,4 +1,4 @@
-"""Carries out the events of a scenario at their times."""
+"""Carry out the events of a scenario at their times."""
 
 from __future__ import annotations
 
@@ -23,147 +23,151 @@
 from scale.scenario import AnyEvent, Change, Churn, DiscoveryDown, Restart, Scenario, ZoneLost
 from scale.standins.agent import AgentMode
 
-CLIENTS_LEAVE_S = 0.3  # after SIGTERM until clients use the ingress no more
-WEIGHT_STEP = 0.01  # by which a configuration change changes a weight
+CLIENT_LEAVE_DELAY_S = 0.3  # time from SIGTERM until clients stop using the ingress
+WEIGHT_STEP = 0.01  # difference that a configuration change makes to a weight
 
 
 @dataclass(slots=True)
 class Timeline:
-    """Plays events and keeps a record of them."""
+    """The events of a scenario, and the record of those that took place."""
 
     scenario: Scenario
     parts: Parts
-    started_at: float = 0.0  # of the load, on the monotonic clock
+    started_at: float = 0.0  # start of the load, on the monotonic clock
     events: list[ScenarioEvent] = field(default_factory=list)
     real_incarnations: list[RealIncarnation] = field(default_factory=list)
-    cold_keys: dict[int, str] = field(default_factory=dict)  # by listener: its last cold start
+    cold_start_keys: dict[int, str] = field(default_factory=dict)  # key of the last cold start, by listener
 
     async def play(self) -> None:
-        """Plays all events; each runs on its own, so that they may overlap."""
+        """Carry out all events; each runs as its own task, because events may overlap."""
         self.started_at = time.monotonic()
         async with asyncio.TaskGroup() as group:
             for index, event in enumerate(self.scenario.events):
-                group.create_task(self._play_one(event, random.Random(f"{self.scenario.seed}-{index}")))
+                group.create_task(self._play_event(event, random.Random(f"{self.scenario.seed}-{index}")))
 
-    def note(self, kind: str, **values: float) -> None:
-        """Adds to the record."""
+    def record_event(self, kind: str, **values: float) -> None:
+        """Add an event that takes place now to the record."""
         at = round(time.monotonic() - self.started_at, 3)
         self.events.append(ScenarioEvent(at=at, kind=kind, values=values))
 
-    async def _play_one(self, event: AnyEvent, rng: random.Random) -> None:
+    async def _play_event(self, event: AnyEvent, rng: random.Random) -> None:
         await asyncio.sleep(event.at_s)
         match event:
             case Churn():
-                await self._churn(event, rng)
+                await self._churn_backends(event, rng)
             case ZoneLost():
-                await self._zone_lost(event)
+                await self._lose_zone(event)
             case Restart():
-                await self._restart(event, rng)
+                await self._restart_ingresses(event, rng)
             case DiscoveryDown():
-                await self._discovery_down(event)
+                await self._stop_discovery(event)
             case Change():
-                await self._change(event, rng)
+                await self._change_configuration(event, rng)
 
-    async def _churn(self, event: Churn, rng: random.Random) -> None:
+    async def _churn_backends(self, event: Churn, rng: random.Random) -> None:
         slots = self.parts.slots
         chosen = rng.sample(slots, max(1, round(event.share * len(slots))))
-        self.note("churn", backends=len(chosen), seconds=event.over_s)
+        self.record_event("churn", backends=len(chosen), seconds=event.over_s)
         async with asyncio.TaskGroup() as group:
             for slot in chosen:
-                group.create_task(self._replace(slot))
+                group.create_task(self._replace_backend(slot))
                 await asyncio.sleep(event.over_s / len(chosen))
-        self.note("churn_done", backends=len(chosen))
-
-    async def _replace(self, slot: Slot) -> None:
-        """The new backend comes as the old one begins to drain; the old one leaves the list after that."""
-        draining = slot.entry("draining")
-        removed = slot.entry("gone")
-        slot.replace()
-        await self._start_cold(slot)
-        self.parts.agent.publish(draining, slot.entry())
+        self.record_event("churn_done", backends=len(chosen))
+
+    async def _replace_backend(self, slot: Slot) -> None:
+        """List a new backend when the old one begins to drain; remove the old one once it has drained."""
+        draining = slot.make_entry("draining")
+        removed = slot.make_entry("gone")
+        slot.replace_backend()
+        await self._announce_cold_start(slot)
+        self.parts.agent.publish(draining, slot.make_entry())
         await asyncio.sleep(self.scenario.backend.drain_s)
         self.parts.agent.publish(removed)
 
-    async def _start_cold(self, slot: Slot) -> None:
-        if self.parts.backends is None or slot.listener is None:
+    async def _announce_cold_start(self, slot: Slot) -> None:
+        if self.parts.backends_child is None or slot.listener is None:
             return
-        self.cold_keys[slot.listener] = slot.cold_key
-        await self.parts.backends.send(ColdBackend(listener=slot.listener, started=slot.started_ms / 1000))
+        self.cold_start_keys[slot.listener] = slot.cold_start_key
+        await self.parts.backends_child.send(
+            ColdBackend(listener=slot.listener, started=slot.started_ms / 1000)
+        )
 
-    async def _zone_lost(self, event: ZoneLost) -> None:
+    async def _lose_zone(self, event: ZoneLost) -> None:
         zone = zone_name(event.zone)
         slots = [slot for slot in self.parts.slots if slot.zone == zone]
-        self.note("zone_lost", backends=len(slots), zone=event.zone)
-        await self._silence(zone, slots, silent=True)
-        noticed = min(event.noticed_after_s, event.seconds)
-        await asyncio.sleep(noticed)
-        if noticed < event.seconds:
-            self.parts.agent.publish(*(slot.entry("gone") for slot in slots))
-            self.note("zone_dropped", backends=len(slots))
-        await asyncio.sleep(event.seconds - noticed)
-        await self._silence(zone, slots, silent=False)
-        if noticed < event.seconds:
+        self.record_event("zone_lost", backends=len(slots), zone=event.zone)
+        await self._set_zone_silent(zone, slots, silent=True)
+        notice_delay_s = min(event.noticed_after_s, event.seconds)
+        await asyncio.sleep(notice_delay_s)
+        if notice_delay_s < event.seconds:
+            self.parts.agent.publish(*(slot.make_entry("gone") for slot in slots))
+            self.record_event("zone_dropped", backends=len(slots))
+        await asyncio.sleep(event.seconds - notice_delay_s)
+        await self._set_zone_silent(zone, slots, silent=False)
+        if notice_delay_s < event.seconds:
             for slot in slots:
-                slot.restart()
-                await self._start_cold(slot)
-            self.parts.agent.publish(*(slot.entry() for slot in slots))
-        self.note("zone_back", backends=len(slots))
+                slot.record_restart()
+                await self._announce_cold_start(slot)
+            self.parts.agent.publish(*(slot.make_entry() for slot in slots))
+        self.record_event("zone_back", backends=len(slots))
 
-    async def _silence(self, zone: str, slots: list[Slot], *, silent: bool) -> None:
+    async def _set_zone_silent(self, zone: str, slots: list[Slot], *, silent: bool) -> None:
         for worker in self.parts.workers:
             await worker.send(SilentZone(zone=zone, silent=silent))
-        if self.parts.backends is not None:
+        if self.parts.backends_child is not None:
             listeners = sorted({slot.listener for slot in slots if slot.listener is not None})
-            await self.parts.backends.send(SilentBackends(listeners=listeners, silent=silent))
+            await self.parts.backends_child.send(SilentBackends(listeners=listeners, silent=silent))
 
-    async def _restart(self, event: Restart, rng: random.Random) -> None:
-        hollow = sorted(self.parts.worker_of)
+    async def _restart_ingresses(self, event: Restart, rng: random.Random) -> None:
+        hollow = sorted(self.parts.worker_index_by_ingress)
         chosen = rng.sample(hollow, math.ceil(event.share * len(hollow)))
-        real = rng.sample(sorted(self.parts.real), math.ceil(event.share * len(self.parts.real)))
-        self.note("restart", hollow=len(chosen), real=len(real))
+        real = rng.sample(
+            sorted(self.parts.real_ingresses), math.ceil(event.share * len(self.parts.real_ingresses))
+        )
+        self.record_event("restart", hollow=len(chosen), real=len(real))
         async with asyncio.TaskGroup() as group:
             for number in real:
                 group.create_task(self._restart_real(number))
             for number in chosen:
-                worker = self.parts.workers[self.parts.worker_of[number]]
+                worker = self.parts.workers[self.parts.worker_index_by_ingress[number]]
                 await worker.send(RestartHollow(numbers=[number]))
                 await asyncio.sleep(event.over_s / len(chosen))
-        self.note("restart_done", hollow=len(chosen), real=len(real))
+        self.record_event("restart_done", hollow=len(chosen), real=len(real))
 
     async def _restart_real(self, number: int) -> None:
-        ingress = self.parts.real[number]
-        clients = self.parts.clients
+        ingress = self.parts.real_ingresses[number]
+        clients = self.parts.clients_child
         incarnation = next(
             each for each in self.real_incarnations if each.number == number and each.ended is None
         )
         incarnation.ended = time.monotonic()
         ingress.terminate()
-        await asyncio.sleep(CLIENTS_LEAVE_S)
+        await asyncio.sleep(CLIENT_LEAVE_DELAY_S)
         if clients is not None:
             await clients.send(PauseClient(ingress=number, paused=True))
-        killed = not await ingress.ended()
+        killed = not await ingress.wait_until_ended()
         if clients is not None and killed:
             await clients.send(ClientRestarting(ingress=number, restarting=True))
         await ingress.start()
         self.real_incarnations.append(RealIncarnation(number, time.monotonic()))
-        self.note("real_restarted", ingress=number, killed=float(killed))
+        self.record_event("real_restarted", ingress=number, killed=float(killed))
         if clients is not None:
             await clients.send(ClientRestarting(ingress=number, restarting=False))
             await clients.send(PauseClient(ingress=number, paused=False))
 
-    async def _discovery_down(self, event: DiscoveryDown) -> None:
-        self.note("discovery_down", seconds=event.seconds)
+    async def _stop_discovery(self, event: DiscoveryDown) -> None:
+        self.record_event("discovery_down", seconds=event.seconds)
         agent = self.parts.agent
         agent.set_mode(AgentMode.SILENT if event.how == "silent" else AgentMode.REFUSING)
         await asyncio.sleep(event.seconds)
         agent.set_mode(AgentMode.UP)
-        self.note("discovery_back")
+        self.record_event("discovery_back")
 
-    async def _change(self, event: Change, rng: random.Random) -> None:
+    async def _change_configuration(self, event: Change, rng: random.Random) -> None:
         count = max(1, round(event.per_s * event.seconds))
-        self.note("change", changes=count, per_s=event.per_s)
+        self.record_event("change", changes=count, per_s=event.per_s)
         for _ in range(count):
             slot = rng.choice(self.parts.slots)
             slot.weight = round(1.0 + WEIGHT_STEP - (slot.weight - 1.0), 2)
-            self.parts.agent.publish(slot.entry())
+            self.parts.agent.publish(slot.make_entry())
             await asyncio.sleep(event.seconds / count)
--- a/scale/experiment/worker.py
+++ b/scale/experiment/worker.py
@@ -1,4 +1,4 @@
-"""The hollow ingresses of one process, and the commands that concern all of them."""
+"""The hollow ingresses of one worker process, and the commands that control them."""
 
 from __future__ import annotations
 
@@ -11,16 +11,16 @@
 from ingress.settings_codec import decode_settings
 from scale.experiment.lag import LagSampler
 from scale.experiment.messages import HollowReport, Incarnation, StartHollow
-from scale.experiment.settings import settings_of
+from scale.experiment.settings import ingress_settings
 from scale.experiment.world import World
 from scale.hollow.ingress import HollowIngress
 from scale.hollow.setup import HollowSetup
 
-DRAIN_SLACK_S = 2.0  # beyond the longest deadline: what is unanswered then is lost
+DRAIN_SLACK_S = 2.0  # added to the longest deadline; requests unanswered after that count as lost
 
 
 class Worker:
-    """The hollow ingresses of one process."""
+    """All hollow ingresses of one worker process."""
 
     def __init__(self, start: StartHollow) -> None:
         self.start_message = start
@@ -28,15 +28,15 @@
         self.world = World(start.scenario)
         self.known = read_known(start.known)
         self.world.learn(self.known.backends)
-        self.settings = {n: decode_settings(settings_of(start.scenario, n)) for n in start.numbers}
+        self.settings = {n: decode_settings(ingress_settings(start.scenario, n)) for n in start.numbers}
         self.incarnation_counts: Tally[int] = Tally()
         self.finished: list[Incarnation] = []
         self.ingresses: dict[int, HollowIngress] = {}
-        self.loading = False
-        self.lag = LagSampler(self.world.worker_lag)
+        self.is_under_load = False
+        self.lag_sampler = LagSampler(self.world.worker_lag)
 
     async def start(self) -> None:
-        """Creates all ingresses, giving way to the loop between two of them."""
+        """Create all ingresses, and let the event loop run between two of them."""
         for number in self.start_message.numbers:
             self._create(number)
             await asyncio.sleep(0)
@@ -55,25 +55,25 @@
         self.incarnation_counts[number] += 1
         self.ingresses[number] = ingress
         ingress.start()
-        if self.loading:
+        if self.is_under_load:
             ingress.load()
 
     def load(self) -> None:
-        """The load begins, and with it the sampling of the worker's lag."""
-        self.loading = True
+        """Begin the load and the sampling of the event loop's lag."""
+        self.is_under_load = True
         for ingress in self.ingresses.values():
             ingress.load()
-        self.lag.start()
+        self.lag_sampler.start()
 
-    def silence(self, zone: str, silent: bool) -> None:
-        """The backends of a zone are cut off, or back."""
+    def set_zone_silent(self, zone: str, silent: bool) -> None:
+        """Make the backends of a zone stop answering, or answer again."""
         if silent:
             self.world.silent_zones.add(zone)
         else:
             self.world.silent_zones.discard(zone)
 
     async def restart(self, numbers: list[int]) -> None:
-        """Some ingresses end and start anew, with the list that the fleet had at its start."""
+        """Restart some ingresses with the initial endpoint list of the fleet."""
         for number in numbers:
             ingress = self.ingresses.pop(number)
             await ingress.stop()
@@ -81,19 +81,19 @@
             self._create(number)
 
     async def _drain(self) -> None:
-        """Waits until no request is open, but not longer than the longest deadline and some slack."""
-        longest_deadline = max(each.deadline_s for each in self.scenario.classes)
+        """Wait until no request is open, but not longer than the longest deadline plus DRAIN_SLACK_S."""
+        longest_deadline_s = max(each.deadline_s for each in self.scenario.classes)
         with contextlib.suppress(TimeoutError):
-            async with asyncio.timeout(longest_deadline + DRAIN_SLACK_S):
+            async with asyncio.timeout(longest_deadline_s + DRAIN_SLACK_S):
                 for ingress in self.ingresses.values():
                     await ingress.requests.drained()
 
     async def finish(self) -> HollowReport:
-        """Waits for the answers that are still out, then ends all ingresses and reports."""
+        """Wait for the answers to open requests, stop all ingresses and return the report."""
         for ingress in self.ingresses.values():
             ingress.stop_load()
         await self._drain()
-        self.lag.stop()
+        self.lag_sampler.stop()
         for ingress in self.ingresses.values():
             ingress.requests.close("lost")
             self.finished.append(ingress.incarnation)
@@ -111,7 +111,7 @@
 
 
 def read_known(body: str) -> api.EndpointUpdate:
-    """A whole list in discovery's form, as the list that an ingress starts with."""
+    """Decode a whole list in the discovery agent's format into the initial endpoint list of an ingress."""
     source = json.loads(body)
     backends = tuple(
         api.Backend(
--- a/scale/experiment/world.py
+++ b/scale/experiment/world.py
@@ -1,4 +1,4 @@
-"""What the hollow ingresses of one process share: the backends as they are, and what is counted."""
+"""The state that the hollow ingresses of one worker share: the backends, and the counts and times."""
 
 from __future__ import annotations
 
@@ -13,42 +13,42 @@
 
 @dataclass(slots=True)
 class World:
-    """The backends and the counts of one worker."""
+    """The state of one worker: its backends, and the counts and times of all its hollow ingresses."""
 
     scenario: Scenario
-    zones: dict[str, str] = field(default_factory=dict)  # by backend
-    started: dict[str, float] = field(default_factory=dict)  # by backend: Unix time, 0 if long ago
-    removed: set[str] = field(default_factory=set)  # backends that have left the list
-    silent_zones: set[str] = field(default_factory=set)  # whose backends answer nothing
-    counts: Tally[str] = field(default_factory=Tally)  # of requests by outcome, of counter calls, of faults
-    cold_units: dict[str, dict[int, float]] = field(default_factory=dict)  # by start, then by window
-    request_cpu: Times = field(default_factory=Times)  # of the module, for a request
-    change_cpu: Times = field(default_factory=Times)  # of the module, for a change of the list
-    counter_wait: Times = field(default_factory=Times)  # of requests that waited for the counter
-    worker_lag: Times = field(default_factory=Times)  # of the process's event loop
+    zone_by_backend: dict[str, str] = field(default_factory=dict)
+    started_at_by_backend: dict[str, float] = field(default_factory=dict)  # Unix time, 0 if long ago
+    removed_backends: set[str] = field(default_factory=set)  # backends that have left the list
+    silent_zones: set[str] = field(default_factory=set)  # zones whose backends do not answer
+    counts: Tally[str] = field(default_factory=Tally)  # of requests by outcome, counter calls, violations
+    cold_units: dict[str, dict[int, float]] = field(default_factory=dict)  # by ID@UNIX_TIME, then by window
+    request_cpu: Times = field(default_factory=Times)  # CPU time in the module for a request
+    change_cpu: Times = field(default_factory=Times)  # CPU time in the module for a list change
+    counter_wait: Times = field(default_factory=Times)  # of the requests that waited for the counter
+    worker_lag: Times = field(default_factory=Times)  # lag of the process's event loop
 
     def learn(self, backends: tuple[api.Backend, ...]) -> None:
-        """Applies entries of the endpoint list."""
+        """Apply entries of the endpoint list."""
         for backend in backends:
-            self.zones[backend.id] = backend.zone
-            self.started[backend.id] = backend.started
+            self.zone_by_backend[backend.id] = backend.zone
+            self.started_at_by_backend[backend.id] = backend.started
             if backend.readiness is api.Readiness.REMOVED:
-                self.removed.add(backend.id)
+                self.removed_backends.add(backend.id)
             else:
-                self.removed.discard(backend.id)
+                self.removed_backends.discard(backend.id)
 
     def note_send(self, backend: str, units: float, now: float) -> None:
-        """Counts the load of a cold backend."""
-        started = self.started.get(backend, 0.0)
-        if started and now < started + self.scenario.backend.cold_s:
-            windows = self.cold_units.setdefault(f"{backend}@{started:.3f}", {})
+        """Count the units sent to a backend if it is cold."""
+        started_at = self.started_at_by_backend.get(backend, 0.0)
+        if started_at and now < started_at + self.scenario.backend.cold_s:
+            windows = self.cold_units.setdefault(f"{backend}@{started_at:.3f}", {})
             window = window_of(now)
             windows[window] = windows.get(window, 0.0) + units
 
     def unreachable(self, backend: str) -> bool:
-        """Whether a connection to it is refused."""
-        return backend in self.removed or backend not in self.zones
+        """Return whether a connection to the backend is refused."""
+        return backend in self.removed_backends or backend not in self.zone_by_backend
 
     def silent(self, backend: str) -> bool:
-        """Whether it answers nothing."""
-        return self.zones.get(backend, "") in self.silent_zones
+        """Return whether the backend does not answer."""
+        return self.zone_by_backend.get(backend, "") in self.silent_zones
--- a/scale/log.py
+++ b/scale/log.py
@@ -1,4 +1,4 @@
-"""Logging: one JSON object a line, on stderr."""
+"""Logging to stderr, one JSON object a line."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 import structlog
 
 
-def configure(verbose: bool) -> None:
-    """Sends all log events to stderr as JSON lines; `verbose` adds those of level debug."""
+def configure_logging(verbose: bool) -> None:
+    """Write all log events to stderr as JSON lines; `verbose` includes events of level debug."""
     level = logging.DEBUG if verbose else logging.INFO
     structlog.configure(
         processors=[
--- a/scale/project.py
+++ b/scale/project.py
@@ -1,4 +1,4 @@
-"""The version that is measured: a child's environment in which `ingress` is that of a given checkout."""
+"""Select the measured version: child processes import `ingress` from a given checkout."""
 
 from __future__ import annotations
 
@@ -11,12 +11,12 @@
 from scale.errors import ScaleError
 
 PACKAGE = "ingress"
-FORMER_PACKAGE = "mulleinhall"  # its name up to version 0.1.0; its modules are laid out differently
+FORMER_PACKAGE = "mulleinhall"  # the package's name up to version 0.1.0, with another layout of modules
 TOOL_ROOT = Path(__file__).resolve().parent.parent
 
 
 def check_project(project: Path) -> None:
-    """Raises a ScaleError unless the package is there: else the tool's own would be measured in its place."""
+    """Raise ScaleError if the checkout lacks the package; the tool's own copy would be measured instead."""
     if (project / FORMER_PACKAGE).is_dir():
         raise ScaleError(
             f"--project: the checkout has the package `{FORMER_PACKAGE}`, from before it became "
@@ -28,11 +28,12 @@
 
 @contextmanager
 def child_environment(project: Path) -> Iterator[dict[str, str]]:
-    """Environment variables for children that import `scale` from here and the package from `project`.
+    """Yield the environment of children that import `scale` from this checkout and `ingress` from `project`.
 
-    A folder that holds nothing but a link to the checkout's package stands first on the path: a checkout
-    may hold another version of `scale`, which must not be imported.  Nothing is written to the checkout.
-    Children are to be started with Python's option -P, which keeps the working directory off the path.
+    The first entry of PYTHONPATH is a folder that holds only a link to the package of `project`, because
+    `project` may contain another version of `scale`, which must not be imported.  Nothing is written to
+    `project`.  Start the children with Python's option -P, which keeps the working directory out of the
+    import path.
     """
     check_project(project)
     with tempfile.TemporaryDirectory(prefix="scale-") as folder:
--- a/scale/scenario.py
+++ b/scale/scenario.py
@@ -11,22 +11,22 @@
 from scale.errors import ScaleError
 
 Positive: TypeAlias = Annotated[float, Field(gt=0, allow_inf_nan=False)]
-NotNegative: TypeAlias = Annotated[float, Field(ge=0, allow_inf_nan=False)]
+NonNegative: TypeAlias = Annotated[float, Field(ge=0, allow_inf_nan=False)]
 Share: TypeAlias = Annotated[float, Field(gt=0, le=1)]
 
 
 class ScenarioError(ScaleError):
-    """The scenario file can't be used; the text names the field."""
+    """The scenario file can't be used; the message names the invalid field."""
 
 
-class Model(BaseModel):
-    """A part of a scenario: unknown fields are errors."""
+class StrictModel(BaseModel):
+    """The base class of the parts of a scenario, which rejects unknown fields."""
 
     model_config = ConfigDict(extra="forbid", frozen=True)
 
 
-class Sizes(Model):
-    """How many of each there are; `requests_per_s` is for one ingress."""
+class Sizes(StrictModel):
+    """The sizes of the fleet; the request rates are those of one hollow and of one real ingress."""
 
     hollow: Annotated[int, Field(ge=0, le=10_000)]
     real: Annotated[int, Field(ge=0, le=32)] = 0
@@ -34,20 +34,25 @@
     backends: Annotated[int, Field(ge=1, le=200_000)]
     zones: Annotated[int, Field(ge=1, le=100)] = 3
     tenants: Annotated[int, Field(ge=1)]
-    requests_per_s: NotNegative
-    real_requests_per_s: NotNegative = 0.0
+    requests_per_s: NonNegative
+    real_requests_per_s: NonNegative = 0.0
 
     @property
     def ingresses(self) -> int:
-        """All ingresses of the fleet, hollow and real."""
+        """The number of all ingresses of the fleet, hollow and real."""
         return self.hollow + self.real
 
 
-class BackendModel(Model):
-    """How a backend behaves; `capacity` is in units a second when it is warm."""
+class BackendModel(StrictModel):
+    """The behaviour of a backend.
+
+    The latency is log-normal with the median `latency_ms`.  `capacity` is that of a warm backend, in units a
+    second; a cold one has `cold_share` of it at first and all of it after `cold_s`.  A backend is overloaded
+    once it gets `fall_factor` times its capacity over `fall_s`.
+    """
 
     latency_ms: Positive = 20.0
-    latency_sigma: NotNegative = 0.5
+    latency_sigma: NonNegative = 0.5
     capacity: Positive = 50.0
     queue_s: Positive = 1.0
     cold_s: Positive = 10.0
@@ -58,35 +63,35 @@
     keepalive_s: Positive = 30.0
 
 
-class ClassModel(Model):
-    """A class of requests; `share` is its part of the traffic."""
+class ClassModel(StrictModel):
+    """A request class; `share` is its weight in the traffic."""
 
     name: Annotated[str, Field(pattern=r"^[a-z][a-z0-9-]*$")]
     share: Positive = 1.0
     aim_s: Positive
     deadline_s: Positive
     worth: Positive = 1.0
-    late_worth: NotNegative = 0.0
+    late_worth: NonNegative = 0.0
     semantics: Literal["safe", "keyed", "unsafe"] = "safe"
-    dedup_window_s: NotNegative = 0.0
+    dedup_window_s: NonNegative = 0.0
 
 
-class PlanModel(Model):
-    """A plan; `share` is its part of the tenants, `spread` the ingresses that one tenant may use."""
+class PlanModel(StrictModel):
+    """A plan; `share` is its weight among the tenants, `spread` the number of ingresses a tenant may use."""
 
     name: Annotated[str, Field(pattern=r"^[a-z][a-z0-9-]*$")]
     share: Positive = 1.0
     rate: Positive
     burst: Positive
     spread: Annotated[int, Field(ge=1)] = 1
-    excess_cost: NotNegative = 0.5
-    ceiling_rate: NotNegative = 0.0
-    ceiling_burst: NotNegative = 0.0
-    ceiling_slack: NotNegative = 0.0
+    excess_cost: NonNegative = 0.5
+    ceiling_rate: NonNegative = 0.0
+    ceiling_burst: NonNegative = 0.0
+    ceiling_slack: NonNegative = 0.0
 
 
-class CounterModel(Model):
-    """The shared counter: names are spread over `parts`, each with a rate and a bounded queue."""
+class CounterModel(StrictModel):
+    """The shared counter: names are distributed over `parts`, each with a limited call rate and queue."""
 
     timeout_ms: Positive = 50.0
     parts: Annotated[int, Field(ge=1, le=1024)] = 4
@@ -94,14 +99,14 @@
     queue: Annotated[int, Field(ge=1)] = 200
 
 
-class Event(Model):
-    """Something that happens `at_s` seconds after the load began."""
+class Event(StrictModel):
+    """An event that begins `at_s` seconds after the load began."""
 
-    at_s: NotNegative
+    at_s: NonNegative
 
 
 class Churn(Event):
-    """A share of the backends is replaced, evenly over some seconds."""
+    """Replacement of a share of the backends, evenly spaced over `over_s` seconds."""
 
     kind: Literal["churn"]
     share: Share
@@ -109,16 +114,16 @@
 
 
 class ZoneLost(Event):
-    """All backends of a zone fall silent; discovery drops them after `noticed_after_s`."""
+    """Loss of a zone: its backends stop answering, and discovery removes them after `noticed_after_s`."""
 
     kind: Literal["zone_lost"]
     zone: Annotated[int, Field(ge=0)]
     seconds: Positive
-    noticed_after_s: NotNegative = 3.0
+    noticed_after_s: NonNegative = 3.0
 
 
 class Restart(Event):
-    """A share of the ingresses, hollow and real, ends and starts again."""
+    """Restart of a share of the hollow and of the real ingresses."""
 
     kind: Literal["restart"]
     share: Share
@@ -126,7 +131,7 @@
 
 
 class DiscoveryDown(Event):
-    """The agent takes calls and does not answer, or answers 503."""
+    """Outage of the discovery agent: it leaves calls unanswered (`silent`) or answers 503 (`refuse`)."""
 
     kind: Literal["discovery_down"]
     seconds: Positive
@@ -134,7 +139,7 @@
 
 
 class Change(Event):
-    """Configuration changes, each of one entry of the list, at a steady rate."""
+    """Configuration changes at a steady rate, each of one entry of the endpoint list."""
 
     kind: Literal["change"]
     seconds: Positive
@@ -146,8 +151,8 @@
 ]
 
 
-class Scenario(Model):
-    """One scenario: an idle phase, then `duration_s` under load with the events in it."""
+class Scenario(StrictModel):
+    """A scenario: an idle phase of `idle_s`, then `duration_s` under load, in which the events take place."""
 
     name: Annotated[str, Field(pattern=r"^[a-z][a-z0-9-]*$")]
     seed: Annotated[int, Field(ge=0)] = 1
@@ -162,7 +167,7 @@
     events: tuple[AnyEvent, ...] = ()
 
     @model_validator(mode="after")
-    def _consistent(self) -> Scenario:
+    def _check_consistency(self) -> Scenario:
         if self.sizes.ingresses < 1:
             raise ValueError("sizes: at least one ingress is needed, hollow or real")
         if self.sizes.tenants < self.sizes.ingresses:
@@ -179,7 +184,7 @@
 
 
 def load_scenario(path: Path) -> Scenario:
-    """Reads a scenario; ScenarioError names the first wrong field in one line."""
+    """Read a scenario; raise ScenarioError, which names the first invalid field in one line."""
     try:
         source = tomllib.loads(path.read_text(encoding="utf-8"))
     except OSError as error:
@@ -189,13 +194,13 @@
     try:
         return Scenario.model_validate(source)
     except ValidationError as error:
-        raise ScenarioError(f"{path.name}: {_first_fault(error)}") from None
+        raise ScenarioError(f"{path.name}: {_describe_first_error(error)}") from None
 
 
-def _first_fault(error: ValidationError) -> str:
-    fault = error.errors(include_url=False)[0]
-    field = ".".join(str(part) for part in fault["loc"])
-    if fault["type"] == "extra_forbidden":
+def _describe_first_error(error: ValidationError) -> str:
+    first_error = error.errors(include_url=False)[0]
+    field = ".".join(str(part) for part in first_error["loc"])
+    if first_error["type"] == "extra_forbidden":
         return f"{field}: there is no such field"
-    message = fault["msg"].removeprefix("Value error, ").replace("\n", " ")
+    message = first_error["msg"].removeprefix("Value error, ").replace("\n", " ")
     return f"{field}: {message}" if field else message
--- a/scale/schedule.py
+++ b/scale/schedule.py
@@ -1,4 +1,4 @@
-"""What is due at which moment of a simulated clock."""
+"""A queue of items, ordered by the time of a simulated clock at which they are due."""
 
 from __future__ import annotations
 
@@ -10,33 +10,33 @@
 
 
 @dataclass(order=True, slots=True)
-class Due(Generic[T]):
-    """An item that is due at a time; items of the same time keep the order in which they were planned."""
+class ScheduledItem(Generic[T]):
+    """An item with the time at which it is due; items of the same time keep the order of their addition."""
 
-    at: float  # s
-    number: int  # items that were planned before and up to this one
+    at: float  # seconds of the simulated clock
+    sequence_number: int  # position in the order of addition, from 1
     item: T = field(compare=False)
 
 
 class Schedule(Generic[T]):
-    """Items that are due, handed out in the order of their times."""
+    """A queue that returns items in the order of the times at which they are due."""
 
     def __init__(self) -> None:
-        self._heap: list[Due[T]] = []
-        self._planned = 0
+        self._heap: list[ScheduledItem[T]] = []
+        self._added_count = 0
 
     def __bool__(self) -> bool:
         return bool(self._heap)
 
     def plan(self, at: float, item: T) -> None:
-        """Adds an item that is due at a time (s)."""
-        self._planned += 1
-        heapq.heappush(self._heap, Due(at, self._planned, item))
+        """Add an item that is due at the given time (s)."""
+        self._added_count += 1
+        heapq.heappush(self._heap, ScheduledItem(at, self._added_count, item))
 
     def is_due_before(self, end: float) -> bool:
-        """Whether an item is due before a time (s)."""
+        """Return whether an item is due before the given time (s)."""
         return bool(self._heap) and self._heap[0].at < end
 
-    def pop(self) -> Due[T]:
-        """Takes out the item that is due next."""
+    def pop(self) -> ScheduledItem[T]:
+        """Remove and return the item that is due next."""
         return heapq.heappop(self._heap)
--- a/tests/scale/experiment/test_run_smoke.py
+++ b/tests/scale/experiment/test_run_smoke.py
@@ -1,4 +1,4 @@
-"""One run of the smallest scenario, from the command line: counts only, no times."""
+"""Tests of the smallest scenario, run from the command line; they check counts, but no times."""
 
 from __future__ import annotations
 
@@ -13,12 +13,12 @@
 
 from scale import budget
 from scale.cli import main
-from scale.commands.run import VIOLATIONS
+from scale.commands.run import VIOLATION_MEASURES
 from scale.results import load_all
 
-SMOKE = Path(budget.__file__).parent / "scenarios" / "smoke.toml"
+SMOKE_SCENARIO = Path(budget.__file__).parent / "scenarios" / "smoke.toml"
 REAL_COMMAND = f"exec {sys.executable} -m ingress"
-ENDS_AT_THE_FIRST_REQUEST = """
+EXIT_AT_FIRST_REQUEST_PROGRAM = """
 import os, socket
 
 host, port = os.environ["EDGE_LISTEN"].split(":")
@@ -31,19 +31,19 @@
 """
 
 
-def test_the_smoke_scenario_runs_and_leaves_nothing_behind(tmp_path: Path) -> None:
-    before = set(psutil.Process().children(recursive=True))
+def test_smoke_scenario_runs_and_leaves_no_process_behind(tmp_path: Path) -> None:
+    children_before = set(psutil.Process().children(recursive=True))
     result = CliRunner().invoke(
-        main, ["run", str(SMOKE), "--results", str(tmp_path), "--real-command", REAL_COMMAND]
+        main, ["run", str(SMOKE_SCENARIO), "--results", str(tmp_path), "--real-command", REAL_COMMAND]
     )
     assert result.exit_code == 0, result.output
-    assert set(psutil.Process().children(recursive=True)) == before
+    assert set(psutil.Process().children(recursive=True)) == children_before
     (saved,) = load_all(tmp_path)
     (point,) = saved.points
     assert (saved.kind, saved.name) == ("run", "smoke")
     assert point.sizes["ingresses"] == 9
     measures = point.measures
-    assert [measures[name] for name in VIOLATIONS] == [0] * len(VIOLATIONS)
+    assert [measures[name] for name in VIOLATION_MEASURES] == [0] * len(VIOLATION_MEASURES)
     assert measures["requests"] > measures["real_requests"] > 0
     assert measures["changes"] >= 6
     assert measures["change_missing"] == measures["real_change_missing"] == 0
@@ -53,38 +53,48 @@
 
 
 @pytest.fixture
-def no_hollow(tmp_path: Path) -> Path:
-    """The smallest scenario without its hollow ingresses."""
+def scenario_without_hollow(tmp_path: Path) -> Path:
+    """Return the path of the smallest scenario, without its hollow ingresses."""
     path = tmp_path / "no-hollow.toml"
-    text = SMOKE.read_text(encoding="utf-8")
-    for line, replaced in (("hollow = 8", "hollow = 0"), ("spread = 2", ""), ("spread = 4", "")):
-        text = text.replace(line, replaced)
+    text = SMOKE_SCENARIO.read_text(encoding="utf-8")
+    for line, replacement in (("hollow = 8", "hollow = 0"), ("spread = 2", ""), ("spread = 4", "")):
+        text = text.replace(line, replacement)
     path.write_text(text, encoding="utf-8")
     return path
 
 
-def test_a_real_ingress_that_does_not_start_ends_the_run_in_one_line(no_hollow: Path, tmp_path: Path) -> None:
-    before = set(psutil.Process().children(recursive=True))
+def test_run_ends_with_one_line_when_a_real_ingress_does_not_start(
+    scenario_without_hollow: Path, tmp_path: Path
+) -> None:
+    children_before = set(psutil.Process().children(recursive=True))
     results = tmp_path / "results"
     result = CliRunner().invoke(
-        main, ["run", str(no_hollow), "--results", str(results), "--real-command", "echo no room; exit 3"]
+        main,
+        [
+            "run",
+            str(scenario_without_hollow),
+            "--results",
+            str(results),
+            "--real-command",
+            "echo no room; exit 3",
+        ],
     )
     assert result.exit_code == 2
     assert "error: real ingress 0: ended with code 3: no room" in result.output
-    assert set(psutil.Process().children(recursive=True)) == before
+    assert set(psutil.Process().children(recursive=True)) == children_before
     assert not results.exists()
 
 
-def test_a_real_ingress_that_ends_by_itself_fails_the_run(no_hollow: Path, tmp_path: Path) -> None:
-    text = no_hollow.read_text(encoding="utf-8").split("[[events]]")[0]
-    no_hollow.write_text(text.replace("duration_s = 2.5", "duration_s = 0.5"), encoding="utf-8")
+def test_run_fails_when_a_real_ingress_exits_by_itself(scenario_without_hollow: Path, tmp_path: Path) -> None:
+    text = scenario_without_hollow.read_text(encoding="utf-8").split("[[events]]")[0]
+    scenario_without_hollow.write_text(text.replace("duration_s = 2.5", "duration_s = 0.5"), encoding="utf-8")
     program = tmp_path / "program.py"
-    program.write_text(ENDS_AT_THE_FIRST_REQUEST, encoding="utf-8")
+    program.write_text(EXIT_AT_FIRST_REQUEST_PROGRAM, encoding="utf-8")
     result = CliRunner().invoke(
         main,
         [
             "run",
-            str(no_hollow),
+            str(scenario_without_hollow),
             "--results",
             str(tmp_path / "results"),
             "--real-command",
@@ -98,13 +108,13 @@
 
 
 @pytest.mark.parametrize("missing", ["ingress", ".venv"])
-def test_a_project_that_can_not_be_run_is_named(missing: str, tmp_path: Path) -> None:
+def test_missing_part_of_a_project_is_named_in_the_error(missing: str, tmp_path: Path) -> None:
     if missing == ".venv":
         (tmp_path / "ingress").mkdir()
         (tmp_path / "ingress" / "__init__.py").touch()
         (tmp_path / "deploy").mkdir()
         (tmp_path / "deploy" / "balancer.toml").write_text('run = "exec .venv/bin/python"', encoding="utf-8")
-    result = CliRunner().invoke(main, ["run", str(SMOKE), "--project", str(tmp_path)])
+    result = CliRunner().invoke(main, ["run", str(SMOKE_SCENARIO), "--project", str(tmp_path)])
     assert result.exit_code == 2
     assert missing in result.output
     assert len(result.output.strip().splitlines()) == 1
@@ -114,12 +124,12 @@
 
 
 @pytest.mark.parametrize(("number", "hollow", "processes"), INTERRUPTIONS)
-def test_a_run_that_is_interrupted_ends_what_it_started(
-    number: signal.Signals, hollow: int, processes: int, no_hollow: Path, tmp_path: Path
+def test_interrupted_run_ends_its_child_processes(
+    number: signal.Signals, hollow: int, processes: int, scenario_without_hollow: Path, tmp_path: Path
 ) -> None:
-    """The backends, the clients and a real ingress, and the worker where there are hollow ingresses."""
+    """The children are the backends, the clients, a real ingress, and a worker for any hollow ingresses."""
     results = tmp_path / "results"
-    scenario = SMOKE if hollow else no_hollow
+    scenario = SMOKE_SCENARIO if hollow else scenario_without_hollow
     command = [sys.executable, "-m", "scale", "run", str(scenario), "--results", str(results)]
     run = subprocess.Popen(
         [*command, "--real-command", REAL_COMMAND],
--- a/tests/scale/test_results.py
+++ b/tests/scale/test_results.py
@@ -1,4 +1,4 @@
-"""Results: kept and read back alike, and what is no result is said to be none."""
+"""Tests of saving and loading results, and of the environment and the commit that a result records."""
 
 from __future__ import annotations
 
@@ -25,7 +25,7 @@
 TAKEN_AT = datetime(2026, 12, 2, 5, 0, tzinfo=UTC)
 
 
-def result(taken_at: datetime = TAKEN_AT) -> Result:
+def make_result(taken_at: datetime = TAKEN_AT) -> Result:
     return Result(
         kind="run",
         name="zone-lost",
@@ -39,17 +39,17 @@
     )
 
 
-def test_a_result_is_read_as_it_was_kept(tmp_path: Path) -> None:
-    path = save(result(), tmp_path)
+def test_saved_result_is_loaded_unchanged(tmp_path: Path) -> None:
+    path = save(make_result(), tmp_path)
     assert path.name == "run-zone-lost-0123456-20261202T050000Z.json"
-    assert load(path) == result()
+    assert load(path) == make_result()
 
 
-def test_all_results_come_the_oldest_first(tmp_path: Path) -> None:
-    later = result(TAKEN_AT + timedelta(hours=1))
+def test_results_are_loaded_oldest_first(tmp_path: Path) -> None:
+    later = make_result(TAKEN_AT + timedelta(hours=1))
     save(later, tmp_path)
-    save(result(), tmp_path)
-    assert load_all(tmp_path) == [result(), later]
+    save(make_result(), tmp_path)
+    assert load_all(tmp_path) == [make_result(), later]
 
 
 @pytest.mark.parametrize(
@@ -59,10 +59,10 @@
         ("[]", "the file"),
         ('{"kind": "other"}', "kind"),
         ('{"schema_version": 2}', "schema_version"),
-        (result().model_dump_json()[:-1] + ', "host": "x"}', "host"),
+        (make_result().model_dump_json()[:-1] + ', "host": "x"}', "host"),
     ],
 )
-def test_what_is_no_result_is_named(text: str, named: str, tmp_path: Path) -> None:
+def test_invalid_result_file_names_the_faulty_field(text: str, named: str, tmp_path: Path) -> None:
     path = tmp_path / "slopes-x.json"
     path.write_text(text, encoding="utf-8")
     with pytest.raises(ResultError, match=rf"slopes-x.json: .*{named}") as caught:
@@ -70,7 +70,7 @@
     assert "\n" not in str(caught.value)
 
 
-def test_the_observer_tells_of_the_machine() -> None:
+def test_observer_reports_the_machine_and_the_note() -> None:
     with Observer("a note") as observer:
         pass
     environment = observer.result()
@@ -78,26 +78,28 @@
     assert environment.note == "a note"
 
 
-def test_a_folder_without_the_package_is_no_project(tmp_path: Path) -> None:
+def test_folder_without_the_package_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(ScaleError, match="ingress"):
         commit_of(tmp_path)
 
 
-def test_a_checkout_from_before_the_package_was_renamed_is_named(tmp_path: Path) -> None:
+def test_checkout_with_the_former_package_name_is_rejected(tmp_path: Path) -> None:
     (tmp_path / "mulleinhall").mkdir()
     with pytest.raises(ScaleError, match="from before it became `ingress`"):
         commit_of(tmp_path)
 
 
-def test_a_copy_without_a_repository_has_no_commit(tmp_path: Path, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_copy_without_a_git_repository_has_an_unknown_commit(
+    tmp_path: Path, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setenv("GIT_CEILING_DIRECTORIES", str(tmp_path.parent))
     (tmp_path / "ingress").mkdir()
     (tmp_path / "ingress" / "__init__.py").touch()
     assert commit_of(tmp_path) == (UNKNOWN_COMMIT, True)
 
 
-def test_an_error_of_the_users_ends_with_one_line(tmp_path: Path) -> None:
-    done = CliRunner().invoke(main, ["slopes", "--project", str(tmp_path), "--dimension", "acceptance"])
-    assert done.exit_code == 2
-    assert "ingress" in done.stderr.splitlines()[-1]
-    assert "Traceback" not in done.stderr
+def test_user_error_is_printed_in_one_line(tmp_path: Path) -> None:
+    invocation = CliRunner().invoke(main, ["slopes", "--project", str(tmp_path), "--dimension", "acceptance"])
+    assert invocation.exit_code == 2
+    assert "ingress" in invocation.stderr.splitlines()[-1]
+    assert "Traceback" not in invocation.stderr
--- a/tests/scale/test_scenario.py
+++ b/tests/scale/test_scenario.py
@@ -1,4 +1,4 @@
-"""Scenarios: what is shipped can be read, what is wrong is named; the budget refuses what is too much."""
+"""Tests of reading scenarios, and of the check that the machine has the resources that a scenario needs."""
 
 from __future__ import annotations
 
@@ -10,16 +10,16 @@
 from click.testing import CliRunner
 
 from scale import budget
-from scale.budget import GIB, InsufficientResourcesError, Machine, Need
+from scale.budget import GIB, InsufficientResourcesError, Machine, ResourceNeeds
 from scale.commands.run import command
 from scale.scenario import BackendModel, Scenario, ScenarioError, load_scenario
 
 SCENARIOS = Path(budget.__file__).parent / "scenarios"
-ROOMY = Machine(memory=64 * GIB, files=100_000)
+LARGE_MACHINE = Machine(memory=64 * GIB, files=100_000)
 
 
-def toml_text(**changes: str) -> str:
-    """A small scenario, with some lines replaced."""
+def make_toml(**changes: str) -> str:
+    """Return the text of a small scenario in which some keys are replaced."""
     lines = {
         "name": '"small"',
         "duration_s": "1.0",
@@ -30,23 +30,23 @@
     return "\n".join(f"{key} = {value}" for key, value in (lines | changes).items())
 
 
-def scenario(**changes: str) -> Scenario:
-    return Scenario.model_validate(tomllib.loads(toml_text(**changes)))
+def make_scenario(**changes: str) -> Scenario:
+    return Scenario.model_validate(tomllib.loads(make_toml(**changes)))
 
 
 @pytest.mark.parametrize("path", sorted(SCENARIOS.glob("*.toml")), ids=lambda path: path.stem)
-def test_the_shipped_scenarios_can_be_read(path: Path) -> None:
+def test_shipped_scenario_can_be_loaded(path: Path) -> None:
     assert load_scenario(path).name == path.stem
 
 
-def test_the_keys_of_a_backend_are_those_that_scenario_files_use() -> None:
+def test_backend_keys_are_those_that_scenario_files_use() -> None:
     keys = (
         "capacity cold_s cold_share drain_s fall_factor fall_s keepalive_s latency_ms latency_sigma queue_s"
     )
     assert sorted(BackendModel.model_fields) == keys.split()
 
 
-WRONG = [
+INVALID_FIELDS = [
     ({"colour": "3"}, "colour"),
     ({"duration_s": "-1.0"}, "duration_s"),
     ({"duration_s": "inf"}, "duration_s"),
@@ -64,10 +64,10 @@
 ]
 
 
-@pytest.mark.parametrize(("changes", "named"), WRONG)
-def test_a_wrong_field_is_named_in_one_line(changes: dict[str, str], named: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("changes", "named"), INVALID_FIELDS)
+def test_invalid_field_is_named_in_one_line(changes: dict[str, str], named: str, tmp_path: Path) -> None:
     path = tmp_path / "wrong.toml"
-    path.write_text(toml_text(**changes), encoding="utf-8")
+    path.write_text(make_toml(**changes), encoding="utf-8")
     with pytest.raises(ScenarioError) as caught:
         load_scenario(path)
     text = str(caught.value)
@@ -76,35 +76,42 @@
     assert "\n" not in text
 
 
-def test_a_missing_file_is_an_error_of_the_scenario(tmp_path: Path) -> None:
+def test_missing_scenario_file_raises_a_scenario_error(tmp_path: Path) -> None:
     result = CliRunner().invoke(command, [str(tmp_path / "none.toml")])
     assert isinstance(result.exception, ScenarioError)
 
 
-def test_a_small_scenario_fits() -> None:
-    budget.check(budget.estimate(scenario(), hollow_bytes=2**20), ROOMY)
+def test_small_scenario_fits_into_a_large_machine() -> None:
+    budget.check_resources(budget.estimate_needs(make_scenario(), hollow_bytes=2**20), LARGE_MACHINE)
 
 
-REFUSED: list[tuple[dict[str, Any], str]] = [
+EXCESSIVE_NEEDS: list[tuple[dict[str, Any], str]] = [
     ({"memory": 13 * GIB, "processes": 1, "files": 1}, "memory"),
     ({"memory": 1, "processes": 201, "files": 1}, "processes"),
     ({"memory": 1, "processes": 1, "files": 100_001}, "descriptors"),
 ]
 
 
-@pytest.mark.parametrize(("need", "named"), REFUSED)
-def test_what_is_too_much_is_refused_by_name(need: dict[str, Any], named: str) -> None:
+@pytest.mark.parametrize(("need", "named"), EXCESSIVE_NEEDS)
+def test_exceeded_resource_is_named_in_the_error(need: dict[str, Any], named: str) -> None:
     with pytest.raises(InsufficientResourcesError, match=named):
-        budget.check(Need(**need), ROOMY)
+        budget.check_resources(ResourceNeeds(**need), LARGE_MACHINE)
 
 
-def test_memory_that_others_hold_is_not_counted_on() -> None:
+def test_needs_beyond_the_available_memory_are_rejected() -> None:
     with pytest.raises(InsufficientResourcesError, match="available"):
-        budget.check(Need(memory=GIB, processes=1, files=1), Machine(memory=GIB, files=100))
+        budget.check_resources(
+            ResourceNeeds(memory=GIB, processes=1, files=1), Machine(memory=GIB, files=100)
+        )
 
 
-def test_the_estimate_grows_with_the_ingresses_and_their_memory() -> None:
-    small, large = scenario(), scenario(sizes="{hollow=200, backends=3, tenants=400, requests_per_s=1.0}")
-    assert budget.estimate(large, 2**20).memory > budget.estimate(small, 2**20).memory + 150 * 2**20
-    assert budget.estimate(small, 2**24).memory > budget.estimate(small, 2**20).memory
-    assert budget.estimate(large, 2**20).files > budget.estimate(small, 2**20).files
+def test_estimate_grows_with_the_number_of_ingresses_and_their_memory() -> None:
+    small, large = (
+        make_scenario(),
+        make_scenario(sizes="{hollow=200, backends=3, tenants=400, requests_per_s=1.0}"),
+    )
+    assert (
+        budget.estimate_needs(large, 2**20).memory > budget.estimate_needs(small, 2**20).memory + 150 * 2**20
+    )
+    assert budget.estimate_needs(small, 2**24).memory > budget.estimate_needs(small, 2**20).memory
+    assert budget.estimate_needs(large, 2**20).files > budget.estimate_needs(small, 2**20).files
--- a/tests/scale/test_schedule.py
+++ b/tests/scale/test_schedule.py
@@ -1,19 +1,19 @@
-"""What is due at which moment of a simulated clock."""
+"""Tests of the queue of items that are due at times of a simulated clock."""
 
 from __future__ import annotations
 
 from scale.schedule import Schedule
 
 
-def test_items_come_in_the_order_of_their_times_and_of_their_planning() -> None:
+def test_items_are_returned_by_time_and_then_by_order_of_adding() -> None:
     schedule: Schedule[str] = Schedule()
-    for at, what in ((2.0, "late"), (1.0, "first"), (1.0, "second")):
-        schedule.plan(at, what)
+    for at, item in ((2.0, "late"), (1.0, "first"), (1.0, "second")):
+        schedule.plan(at, item)
     due = [schedule.pop() for _ in range(3)]
     assert [(each.at, each.item) for each in due] == [(1.0, "first"), (1.0, "second"), (2.0, "late")]
 
 
-def test_a_schedule_says_what_is_due_before_a_time() -> None:
+def test_schedule_tells_whether_an_item_is_due_before_a_time() -> None:
     schedule: Schedule[str] = Schedule()
     assert not schedule
     assert not schedule.is_due_before(9.0)
