--- a/scale/budget.py
+++ b/scale/budget.py
@@ -27,9 +27,9 @@
 LISTENER_BYTES = 8192  # memory of one listener of a backend
 BACKEND_BYTES = 2 * 1024  # memory of one backend in the list of a real ingress
 SPARE_DESCRIPTORS = 64  # descriptors of a process that are not connections or listeners
-MAX_COUNTER_CONNECTIONS = 8  # most connections that one ingress opens to the counter
+MAX_COUNTER_CONNECTIONS = 8  # connections that one ingress may open to the counter
 REQUESTS_PER_COUNTER_CONNECTION = 5  # requests a second; beyond that an ingress opens another connection
-MAX_BACKEND_CONNECTIONS = 300  # most connections that one real ingress opens to backends
+MAX_BACKEND_CONNECTIONS = 300  # connections that one real ingress may open to backends
 MAX_LISTENERS = 4000  # with more backends than this, several backends share a listener
 PROBE_TIMEOUT_S = 120.0
 
--- a/scale/commands/cold.py
+++ b/scale/commands/cold.py
@@ -48,14 +48,15 @@
 def play(job: ColdStarts) -> Point:
     """Run one job; count requests from ingresses that knew of the start separately as well."""
     outcomes = Fleet(job).play()
-    names = sorted(outcomes.informed.keys() | outcomes.uninformed.keys())
-    everything = [
-        sorted(outcomes.informed.get(name, []) + outcomes.uninformed.get(name, [])) for name in names
+    backend_ids = sorted(outcomes.informed.keys() | outcomes.uninformed.keys())
+    all_arrivals = [
+        sorted(outcomes.informed.get(backend_id, []) + outcomes.uninformed.get(backend_id, []))
+        for backend_id in backend_ids
     ]
     measures = {"requests": float(outcomes.requests), "sent_share": outcomes.sent / max(1, outcomes.requests)}
     # In results, "told" stands for the requests from ingresses that knew of the start.
     measures |= _measures("told", usage(job, list(outcomes.informed.values())))
-    measures |= _measures("all", usage(job, everything))
+    measures |= _measures("all", usage(job, all_arrivals))
     sizes = {name: float(value) for name, value in job.model_dump().items() if isinstance(value, int | float)}
     return Point(sizes=sizes | {"restarted": float(job.start_kind == "restarted")}, measures=measures)
 
--- a/scale/commands/run.py
+++ b/scale/commands/run.py
@@ -10,7 +10,7 @@
 import uvloop
 
 from scale import budget
-from scale.experiment.runner import RunOptions, play_scenario
+from scale.experiment.runner import RunOptions, run_scenario
 from scale.project import check_project
 from scale.real import read_run_command
 from scale.results import Result, save
@@ -19,27 +19,27 @@
 VIOLATION_MEASURES = ("lost", "duplicated", "wrong", "real_died")
 EXIT_VIOLATED = 1  # exit code if a measure of VIOLATION_MEASURES is not 0
 EXIT_INTERRUPTED = 130  # exit code after Ctrl-C or SIGTERM
-RUN_SLACK_S = 180.0  # time limit of a run, added to its phases
-START_ALLOWANCE_PER_INGRESS_S = 0.3  # added to the time limit for each ingress
+RUN_SLACK_S = 180.0  # added to the length of the phases for the time limit of a run
+START_ALLOWANCE_PER_INGRESS_S = 0.3  # also added to the time limit, for each ingress
 
 
-def _play(options: RunOptions, timeout_s: float) -> Result:
+def _run(options: RunOptions, timeout_s: float) -> Result:
     try:
-        return uvloop.run(play_scenario(options, timeout_s))
+        return uvloop.run(run_scenario(options, timeout_s))
     except (KeyboardInterrupt, asyncio.CancelledError):
         click.echo("interrupted: all processes of the run were ended", err=True)
         sys.exit(EXIT_INTERRUPTED)
 
 
-def _play_with_progress_bar(
+def _run_with_progress_bar(
     scenario: Scenario, project: Path, command: str, note: str, timeout_s: float
 ) -> Result:
-    length = scenario.idle_s + scenario.duration_s
-    with click.progressbar(length=round(length * 1000), label=scenario.name, file=sys.stderr) as bar:
+    total_s = scenario.idle_s + scenario.duration_s
+    with click.progressbar(length=round(total_s * 1000), label=scenario.name, file=sys.stderr) as bar:
         options = RunOptions(
             scenario, project, command, note, lambda seconds: bar.update(round(seconds * 1000))
         )
-        return _play(options, timeout_s)
+        return _run(options, timeout_s)
 
 
 @click.command()
@@ -72,7 +72,7 @@
         + RUN_SLACK_S
         + START_ALLOWANCE_PER_INGRESS_S * scenario.sizes.ingresses
     )
-    result = _play_with_progress_bar(scenario, project, start_command, note, timeout_s)
+    result = _run_with_progress_bar(scenario, project, start_command, note, timeout_s)
     click.echo(f"saved {save(result, results).name}")
     measures = result.points[0].measures
     for name in sorted(measures):
--- a/scale/experiment/change_delays.py
+++ b/scale/experiment/change_delays.py
@@ -43,11 +43,11 @@
     acted on the change is left out; one that still ran at `observed_until` without having acted is missing.
     """
     changes = [_measure_delays_of(change, incarnations, observed_until) for change in published]
-    in_time = sum(change.is_in_time for change in changes)
+    in_time_count = sum(change.is_in_time for change in changes)
     return ChangeDelays(
         delays=[delay for change in changes for delay in change.delays],
         missing_count=sum(change.missing_count for change in changes),
-        in_force_share=in_time / len(changes) if changes else 1.0,
+        in_force_share=in_time_count / len(changes) if changes else 1.0,
     )
 
 
--- a/scale/experiment/child.py
+++ b/scale/experiment/child.py
@@ -56,7 +56,7 @@
             self.process.stdin.write(message.model_dump_json().encode() + b"\n")
             await self.process.stdin.drain()
         except (ConnectionError, RuntimeError):
-            raise ChildFailedError(f"{self.name}: ended early") from None
+            raise ChildFailedError(f"{self.name}: exited early") from None
 
     async def receive(self, kind: type[M], timeout_s: float) -> M:
         """Return the child's next message; raise ChildFailedError if it is late or of another class."""
@@ -66,12 +66,12 @@
         except TimeoutError:
             raise ChildFailedError(f"{self.name}: no {kind.__name__} within {timeout_s:g} s") from None
         if not line:
-            raise ChildFailedError(f"{self.name}: ended without {kind.__name__}")
+            raise ChildFailedError(f"{self.name}: exited without sending {kind.__name__}")
         message = FROM_CHILD.validate_json(line)
         if isinstance(message, Failed):
             raise ChildFailedError(f"{self.name}: {message.text}")
         if not isinstance(message, kind):
-            raise ChildFailedError(f"{self.name}: {message.kind} came in place of {kind.__name__}")
+            raise ChildFailedError(f"{self.name}: sent {message.kind} instead of {kind.__name__}")
         return message
 
     def measure_cpu_s(self) -> float:
--- a/scale/experiment/cold_load.py
+++ b/scale/experiment/cold_load.py
@@ -17,13 +17,13 @@
     window_count = max(1, round(model.fall_s / COLD_WINDOW_S))
     max_ratio = 0.0
     for key, windows in units_by_start.items():
-        started = float(key.rpartition("@")[2])
+        started_at = float(key.rpartition("@")[2])
         for last_window in windows:
             sent_units = sum(
                 windows.get(window, 0.0) for window in range(last_window - window_count + 1, last_window + 1)
             )
             ages = [
-                (window + 0.5) * COLD_WINDOW_S - started
+                (window + 0.5) * COLD_WINDOW_S - started_at
                 for window in range(last_window - window_count + 1, last_window + 1)
             ]
             unit_budget = model.fall_factor * sum(capacity_at(model, age) for age in ages) * COLD_WINDOW_S
--- a/scale/experiment/fleet.py
+++ b/scale/experiment/fleet.py
@@ -24,7 +24,7 @@
     listener: int | None  # index of the listener; None where no real ingress connects to backends
     address: Address
     generation: int = 0  # number of backends that held the place before
-    started_ms: int = 0  # Unix time; 0 for a backend that runs since before the scenario
+    started_ms: int = 0  # Unix time; 0 for a backend that started before the scenario
     weight: float = 1.0
 
     @property
@@ -60,11 +60,11 @@
         self.started_ms = round(time.time() * 1000)
 
 
-def make_slots(scenario: Scenario, listeners: list[Address]) -> list[Slot]:
+def make_slots(scenario: Scenario, listener_addresses: list[Address]) -> list[Slot]:
     """Return the initial backends, which share listeners where there are fewer of those."""
     slots = []
     for number in range(scenario.sizes.backends):
-        listener = number % len(listeners) if listeners else None
-        address = UNUSED_ADDRESS if listener is None else listeners[listener]
+        listener = number % len(listener_addresses) if listener_addresses else None
+        address = UNUSED_ADDRESS if listener is None else listener_addresses[listener]
         slots.append(Slot(number, zone_name(number % scenario.sizes.zones), listener, address))
     return slots
--- a/scale/experiment/hollow_process.py
+++ b/scale/experiment/hollow_process.py
@@ -33,7 +33,7 @@
             send_message(Ready())
             continue
         if worker is None:
-            raise RuntimeError(f"{message.kind} came before the start")
+            raise RuntimeError(f"{message.kind} was received before the start message")
         match message:
             case Load():
                 worker.load()
--- a/scale/experiment/lag.py
+++ b/scale/experiment/lag.py
@@ -10,7 +10,7 @@
 
 
 class LagSampler:
-    """Record at a fixed period how late the event loop runs a timer's callback."""
+    """A sampler that records at a fixed period how late the event loop runs a timer's callback."""
 
     def __init__(self, lag: Times) -> None:
         self._lag = lag
--- a/scale/experiment/launch.py
+++ b/scale/experiment/launch.py
@@ -37,26 +37,35 @@
 
     async def start(self) -> Parts:
         """Start all parts and wait until they are ready."""
-        backends, addresses = await self._start_backends()
+        backends_child, addresses = await self._start_backends()
         slots = make_slots(self._scenario, addresses)
         agent = Agent(Registry(slot.make_entry() for slot in slots))
         self._stack.callback(agent.close)
         counter = self._make_counter()
-        known = agent.registry.body(None).decode()
+        known_endpoints = agent.registry.body(None).decode()
         counter_address = await counter.listen()
         agent_address = await agent.listen(HOLLOW_GROUP)
-        workers = await self._start_workers(agent_address, counter_address, known)
-        real = await self._start_real(agent, counter_address, known)
-        clients = await self._start_clients(real)
+        workers = await self._start_workers(agent_address, counter_address, known_endpoints)
+        real_ingresses = await self._start_real(agent, counter_address, known_endpoints)
+        clients_child = await self._start_clients(real_ingresses)
         worker_index_by_ingress = {
             number: number % len(workers) for number in range(self._scenario.sizes.hollow)
         }
-        return Parts(agent, counter, slots, workers, worker_index_by_ingress, real, backends, clients)
+        return Parts(
+            agent,
+            counter,
+            slots,
+            workers,
+            worker_index_by_ingress,
+            real_ingresses,
+            backends_child,
+            clients_child,
+        )
 
     def _make_counter(self) -> CounterServer:
         model = self._scenario.counter
-        ingresses = self._scenario.sizes.ingresses
-        counter = CounterServer(model.parts, model.calls_per_s, model.queue, ingresses)
+        ingress_count = self._scenario.sizes.ingresses
+        counter = CounterServer(model.parts, model.calls_per_s, model.queue, ingress_count)
         self._stack.callback(counter.close)
         return counter
 
@@ -66,34 +75,44 @@
         return child
 
     async def _start_backends(self) -> tuple[Child | None, list[Address]]:
-        count = count_listeners(self._scenario)
-        if not count:
+        listener_count = count_listeners(self._scenario)
+        if not listener_count:
             return None, []
         child = await self._spawn("backends", "backends_process")
-        start = StartBackends(listeners=count, model=self._scenario.backend, seed=self._scenario.seed)
+        start = StartBackends(
+            listeners=listener_count, model=self._scenario.backend, seed=self._scenario.seed
+        )
         await child.send(start)
         return child, (await child.receive(Ready, START_TIMEOUT_S)).addresses
 
-    async def _start_workers(self, agent: Address, counter: Address, known: str) -> list[Child]:
+    async def _start_workers(
+        self, agent_address: Address, counter_address: Address, known_endpoints: str
+    ) -> list[Child]:
         sizes = self._scenario.sizes
-        count = min(sizes.workers, sizes.hollow)
+        worker_count = min(sizes.workers, sizes.hollow)
         workers: list[Child] = []
-        for index in range(count):
+        for index in range(worker_count):
             worker = await self._spawn(f"worker {index}", "hollow_process", self._project)
             workers.append(worker)
-            numbers = list(range(index, sizes.hollow, count))
+            numbers = list(range(index, sizes.hollow, worker_count))
             start = StartHollow(
-                scenario=self._scenario, numbers=numbers, agent=agent, counter=counter, known=known
+                scenario=self._scenario,
+                numbers=numbers,
+                agent=agent_address,
+                counter=counter_address,
+                known=known_endpoints,
             )
             await worker.send(start)
         for worker in workers:
             await worker.receive(Ready, START_TIMEOUT_S + START_TIMEOUT_PER_INGRESS_S * sizes.hollow)
-        self._log.info("hollow ingresses are ready", hollow=sizes.hollow, workers=count)
+        self._log.info("hollow ingresses are ready", hollow=sizes.hollow, workers=worker_count)
         return workers
 
-    async def _start_real(self, agent: Agent, counter: Address, known: str) -> dict[int, RealIngress]:
+    async def _start_real(
+        self, agent: Agent, counter_address: Address, known_endpoints: str
+    ) -> dict[int, RealIngress]:
         sizes = self._scenario.sizes
-        real: dict[int, RealIngress] = {}
+        real_ingresses: dict[int, RealIngress] = {}
         for number in range(sizes.hollow, sizes.ingresses):
             setup = RealSetup(
                 self._scenario,
@@ -101,21 +120,21 @@
                 self._project,
                 self._real_command,
                 await agent.listen(real_group_name(number)),
-                counter,
-                known,
+                counter_address,
+                known_endpoints,
             )
             ingress = RealIngress(setup)
-            real[number] = ingress
+            real_ingresses[number] = ingress
             self._stack.push_async_callback(ingress.close)
-        await asyncio.gather(*(ingress.start() for ingress in real.values()))
-        return real
+        await asyncio.gather(*(ingress.start() for ingress in real_ingresses.values()))
+        return real_ingresses
 
-    async def _start_clients(self, real: dict[int, RealIngress]) -> Child | None:
-        if not real:
+    async def _start_clients(self, real_ingresses: dict[int, RealIngress]) -> Child | None:
+        if not real_ingresses:
             return None
         child = await self._spawn("clients", "clients_process")
-        addresses = [ingress.address for _, ingress in sorted(real.items())]
-        start = StartClients(scenario=self._scenario, first_number=min(real), addresses=addresses)
+        addresses = [ingress.address for _, ingress in sorted(real_ingresses.items())]
+        start = StartClients(scenario=self._scenario, first_number=min(real_ingresses), addresses=addresses)
         await child.send(start)
         await child.receive(Ready, START_TIMEOUT_S)
         return child
--- a/scale/experiment/measures.py
+++ b/scale/experiment/measures.py
@@ -22,17 +22,17 @@
     return part / whole if whole else 0.0
 
 
-def outcome_measures(hollow: Counter[str], clients: Counter[str]) -> dict[str, float]:
+def outcome_measures(hollow_counts: Counter[str], client_counts: Counter[str]) -> dict[str, float]:
     """Return the shares of the outcomes over all ingresses, and the counts of violations."""
-    totals = hollow + clients
-    failed = totals["failed"] + totals["forced"]
-    ended_count = totals["served"] + totals["refused"] + failed + totals["lost"]
-    real_ended_count = sum(clients[key] for key in ("served", "refused", "failed", "lost"))
+    totals = hollow_counts + client_counts
+    failed_count = totals["failed"] + totals["forced"]
+    ended_count = totals["served"] + totals["refused"] + failed_count + totals["lost"]
+    real_ended_count = sum(client_counts[key] for key in ("served", "refused", "failed", "lost"))
     measures = {
         "requests": float(totals["requests"]),
         "served_share": share(totals["served"], ended_count),
         "refused_share": share(totals["refused"], ended_count),
-        "failed_share": share(failed, ended_count),
+        "failed_share": share(failed_count, ended_count),
         "forced": float(totals["forced"]),
         "cut_by_restart": float(totals["cut"]),
         "unreachable": float(totals["unreachable"]),
@@ -42,8 +42,8 @@
         "wrong": float(totals["wrong"]),
     }
     if real_ended_count:
-        measures["real_served_share"] = share(clients["served"], real_ended_count)
-        measures["real_requests"] = float(clients["requests"])
+        measures["real_served_share"] = share(client_counts["served"], real_ended_count)
+        measures["real_requests"] = float(client_counts["requests"])
     return measures
 
 
@@ -52,19 +52,19 @@
     counts = sum((Counter(report.counts) for report in reports), Counter())
     request_cpu = merge_times(report.request_cpu for report in reports)
     change_cpu = merge_times(report.change_cpu for report in reports)
-    wait = merge_times(report.counter_wait for report in reports)
-    lag = merge_times(report.worker_lag for report in reports)
+    counter_wait = merge_times(report.counter_wait for report in reports)
+    worker_lag = merge_times(report.worker_lag for report in reports)
     measures = {
         "request_cpu_p50_us": request_cpu.microseconds(50),
         "request_cpu_p99_us": request_cpu.microseconds(99),
         "counter_wait_share": share(counts["waited"], counts["requests"]),
-        "counter_wait_p50_ms": wait.milliseconds(50),
-        "counter_wait_p99_ms": wait.milliseconds(99),
+        "counter_wait_p50_ms": counter_wait.milliseconds(50),
+        "counter_wait_p99_ms": counter_wait.milliseconds(99),
         "counter_unanswered_share": share(counts["counter_unanswered"], counts["counter_calls"]),
         "counter_calls_per_request": share(counts["counter_calls"], counts["requests"]),
         "watch_cancels_repeated": float(counts["cancellations_lost"]),
-        "worker_lag_p50_ms": lag.milliseconds(50),
-        "worker_lag_p99_ms": lag.milliseconds(99),
+        "worker_lag_p50_ms": worker_lag.milliseconds(50),
+        "worker_lag_p99_ms": worker_lag.milliseconds(99),
     }
     if change_cpu.count:
         measures["change_cpu_us"] = change_cpu.microseconds(50)
--- a/scale/experiment/memory_probe.py
+++ b/scale/experiment/memory_probe.py
@@ -31,11 +31,11 @@
     process = psutil.Process()
     gateways = [Gateway(settings, 0)]
     gateways[0].handle(0.0, known_endpoints)
-    before = process.memory_info().rss
+    bytes_before = process.memory_info().rss
     for seed in range(SAMPLED_GATEWAYS):
         gateways.append(Gateway(settings, seed))
         gateways[-1].handle(0.0, known_endpoints)
-    return max(0, process.memory_info().rss - before) // SAMPLED_GATEWAYS + CONTROL_BYTES
+    return max(0, process.memory_info().rss - bytes_before) // SAMPLED_GATEWAYS + CONTROL_BYTES
 
 
 if __name__ == "__main__":
--- a/scale/experiment/parts.py
+++ b/scale/experiment/parts.py
@@ -16,9 +16,9 @@
 class RealIncarnation:
     """One incarnation of a real ingress, from the start of its process to the end of that process."""
 
-    number: int  # of the ingress
-    started: float  # monotonic clock
-    ended: float | None = None  # monotonic clock; None while it runs
+    ingress_number: int
+    started_at: float  # monotonic clock
+    ended_at: float | None = None  # monotonic clock; None while it runs
 
 
 @dataclass(slots=True)
--- a/scale/experiment/pipe.py
+++ b/scale/experiment/pipe.py
@@ -30,7 +30,7 @@
 
 
 async def _run_body(body: Callable[[], Awaitable[None]]) -> Exception | None:
-    """Run a child's body and return the exception that ended it, or None."""
+    """Run a child's body and return the exception of any class that ended it, for the report to the runner."""
     (outcome,) = await asyncio.gather(body(), return_exceptions=True)
     if isinstance(outcome, Exception):
         return outcome
@@ -40,7 +40,10 @@
 
 
 def run_child(body: Callable[[], Awaitable[None]]) -> int:
-    """Run a child until its body ends, report a failure to the runner, and return the exit code."""
+    """Run a child until its body ends or the runner closes the pipe, and return the exit code.
+
+    A failure of the body is reported to the runner in one message.
+    """
     try:
         error = uvloop.run(_run_body(body))
     except KeyboardInterrupt:
--- a/scale/experiment/runner.py
+++ b/scale/experiment/runner.py
@@ -41,7 +41,7 @@
     project: Path  # the checkout that is measured
     real_command: str  # shell command that starts a real ingress
     note: str = ""  # remark that is stored with the result
-    progress: ProgressCallback = lambda seconds: None
+    report_progress: ProgressCallback = lambda seconds: None
 
 
 class ScenarioRun:
@@ -52,7 +52,7 @@
         self._scenario = options.scenario
         self._log = structlog.get_logger().bind(scenario=options.scenario.name)
 
-    async def play(self) -> Result:
+    async def run(self) -> Result:
         """Run the scenario and return its result; stop all started parts, also after a failure."""
         commit, dirty = commit_of(self._options.project)
         taken_at = now()
@@ -61,7 +61,7 @@
             with Observer(self._options.note) as observer:
                 record = await self._run_phases(stack)
                 measures = run_measures(record)
-        rounded = {key: round(value, MEASURE_DIGITS) for key, value in measures.items()}
+        rounded_measures = {key: round(value, MEASURE_DIGITS) for key, value in measures.items()}
         return Result(
             kind="run",
             name=self._scenario.name,
@@ -70,7 +70,7 @@
             taken_at=taken_at,
             seconds=round(time.monotonic() - started_at, 2),
             environment=observer.result(),
-            points=[Point(sizes=_result_sizes(self._scenario), measures=rounded)],
+            points=[Point(sizes=_result_sizes(self._scenario), measures=rounded_measures)],
             events=record.timeline.events,
         )
 
@@ -99,11 +99,11 @@
 
     async def _wait_reporting_progress(self, seconds: float) -> None:
         """Wait for a number of seconds, and report the progress meanwhile."""
-        started_at = last = time.monotonic()
-        while (left := seconds - (time.monotonic() - started_at)) > 0:
-            await asyncio.sleep(min(PROGRESS_PERIOD_S, left))
-            self._options.progress(time.monotonic() - last)
-            last = time.monotonic()
+        started_at = last_report_at = time.monotonic()
+        while (remaining_s := seconds - (time.monotonic() - started_at)) > 0:
+            await asyncio.sleep(min(PROGRESS_PERIOD_S, remaining_s))
+            self._options.report_progress(time.monotonic() - last_report_at)
+            last_report_at = time.monotonic()
 
     async def _run_load_phase(self, timeline: Timeline) -> Phase:
         """Run the load and its events; wait beyond `duration_s` for events that are not done by then."""
@@ -113,7 +113,7 @@
             await child.send(Load())
         try:
             async with asyncio.TaskGroup() as group:
-                group.create_task(timeline.play())
+                group.create_task(timeline.run_events())
                 group.create_task(self._wait_reporting_progress(self._scenario.duration_s))
         except* ScaleError as errors:
             raise _first_error(errors) from None
@@ -145,12 +145,12 @@
     }
 
 
-def _resident_measures(parts: Parts, hollow: int) -> dict[str, float]:
+def _resident_measures(parts: Parts, hollow_count: int) -> dict[str, float]:
     """Return the measures of resident memory: the mean of the hollow ingresses, the largest real one."""
     measures: dict[str, float] = {}
     if parts.workers:
         total = sum(worker.measure_resident_bytes() for worker in parts.workers)
-        measures["resident_mb"] = total / BYTES_PER_MEGABYTE / hollow
+        measures["resident_mb"] = total / BYTES_PER_MEGABYTE / hollow_count
     if parts.real_ingresses:
         largest = max(ingress.measure_usage().resident_bytes for ingress in parts.real_ingresses.values())
         measures["real_resident_mb"] = largest / BYTES_PER_MEGABYTE
@@ -166,7 +166,7 @@
     return error
 
 
-async def play_scenario(options: RunOptions, timeout_s: float) -> Result:
+async def run_scenario(options: RunOptions, timeout_s: float) -> Result:
     """Run a scenario; raise ScaleError on a failure or a timeout.  SIGTERM ends the run as Ctrl-C does."""
     task = asyncio.current_task()
     assert task is not None
@@ -174,6 +174,6 @@
         asyncio.get_running_loop().add_signal_handler(signal.SIGTERM, task.cancel)
     try:
         async with asyncio.timeout(timeout_s):
-            return await ScenarioRun(options).play()
+            return await ScenarioRun(options).run()
     except TimeoutError:
         raise ScaleError(f"the run did not end within {timeout_s:g} s") from None
--- a/scale/experiment/samples.py
+++ b/scale/experiment/samples.py
@@ -12,7 +12,7 @@
 class Sample:
     """The totals since the start of the run, at one time."""
 
-    at: float  # monotonic clock
+    taken_at: float  # monotonic clock
     discovery_calls: int
     whole_lists: int  # answers of discovery that held the whole list
     counter_calls: int
@@ -31,18 +31,18 @@
     @property
     def duration_s(self) -> float:
         """The length of the phase in seconds."""
-        return self.end.at - self.start.at
+        return self.end.taken_at - self.start.taken_at
 
 
 def take_sample(parts: Parts) -> Sample:
     """Return the present totals."""
-    groups = parts.agent.counts.values()
+    listener_counts = parts.agent.counts.values()
     counter = parts.counter.counts
-    discovery_bytes = sum(group.bytes_in + group.bytes_out for group in groups)
+    discovery_bytes = sum(group.bytes_in + group.bytes_out for group in listener_counts)
     return Sample(
-        at=time.monotonic(),
-        discovery_calls=sum(group.calls for group in groups),
-        whole_lists=sum(group.whole_lists for group in groups),
+        taken_at=time.monotonic(),
+        discovery_calls=sum(group.calls for group in listener_counts),
+        whole_lists=sum(group.whole_lists for group in listener_counts),
         counter_calls=counter.calls,
         control_bytes=discovery_bytes + counter.bytes_in + counter.bytes_out,
         worker_cpu_s=sum(worker.measure_cpu_s() for worker in parts.workers),
@@ -50,15 +50,17 @@
     )
 
 
-def control_measures(idle: Phase, load: Phase, hollow: int, real: int) -> dict[str, float]:
+def control_measures(idle: Phase, load: Phase, hollow_count: int, real_count: int) -> dict[str, float]:
     """Return the measures of control traffic and of the CPU time that it takes.
 
     The shares of control CPU come from the idle phase, in which no requests arrive.
     """
-    return _traffic_measures(idle, load, hollow + real) | _cpu_measures(idle, load, hollow, real)
+    return _traffic_measures(idle, load, hollow_count + real_count) | _cpu_measures(
+        idle, load, hollow_count, real_count
+    )
 
 
-def _traffic_measures(idle: Phase, load: Phase, ingresses: int) -> dict[str, float]:
+def _traffic_measures(idle: Phase, load: Phase, ingress_count: int) -> dict[str, float]:
     start = load.start
     end = load.end
     idle_bytes = idle.end.control_bytes - idle.start.control_bytes
@@ -67,19 +69,19 @@
         "discovery_calls_per_s": (end.discovery_calls - start.discovery_calls) / load.duration_s,
         "discovery_whole_lists": float(end.whole_lists - start.whole_lists),
         "counter_calls_per_s_fleet": (end.counter_calls - start.counter_calls) / load.duration_s,
-        "control_bytes_per_s": (end.control_bytes - start.control_bytes) / load.duration_s / ingresses,
-        "idle_control_bytes_per_s": idle_bytes / idle.duration_s / ingresses,
+        "control_bytes_per_s": (end.control_bytes - start.control_bytes) / load.duration_s / ingress_count,
+        "idle_control_bytes_per_s": idle_bytes / idle.duration_s / ingress_count,
         "idle_discovery_calls_per_s": idle_calls / idle.duration_s,
     }
 
 
-def _cpu_measures(idle: Phase, load: Phase, hollow: int, real: int) -> dict[str, float]:
+def _cpu_measures(idle: Phase, load: Phase, hollow_count: int, real_count: int) -> dict[str, float]:
     measures = {}
-    if hollow:
+    if hollow_count:
         idle_cpu_s = idle.end.worker_cpu_s - idle.start.worker_cpu_s
-        measures["control_cpu_share"] = idle_cpu_s / idle.duration_s / hollow
+        measures["control_cpu_share"] = idle_cpu_s / idle.duration_s / hollow_count
         measures["worker_cores"] = (load.end.worker_cpu_s - load.start.worker_cpu_s) / load.duration_s
-    if real:
+    if real_count:
         idle_cpu_s = idle.end.real_cpu_s - idle.start.real_cpu_s
-        measures["real_control_cpu_share"] = idle_cpu_s / idle.duration_s / real
+        measures["real_control_cpu_share"] = idle_cpu_s / idle.duration_s / real_count
     return measures
--- a/scale/experiment/summary.py
+++ b/scale/experiment/summary.py
@@ -43,9 +43,9 @@
 
 
 def _outcome_measures(reports: Reports) -> dict[str, float]:
-    hollow = sum((Counter(report.counts) for report in reports.hollow), Counter())
-    clients = Counter(reports.clients.counts if reports.clients else {})
-    return outcome_measures(hollow, clients)
+    hollow_counts = sum((Counter(report.counts) for report in reports.hollow), Counter())
+    client_counts = Counter(reports.clients.counts if reports.clients else {})
+    return outcome_measures(hollow_counts, client_counts)
 
 
 def _real_measures(
@@ -57,8 +57,8 @@
     """
     latency = merge_times([clients.latency])
     added = merge_times([clients.added])
-    idle_cpu = (idle.end.real_cpu_s - idle.start.real_cpu_s) / idle.duration_s
-    cpu_s = load.end.real_cpu_s - load.start.real_cpu_s - idle_cpu * load.duration_s
+    idle_cores = (idle.end.real_cpu_s - idle.start.real_cpu_s) / idle.duration_s
+    cpu_s = load.end.real_cpu_s - load.start.real_cpu_s - idle_cores * load.duration_s
     return {
         "real_request_cpu_us": max(0.0, share(cpu_s * 1e6, measures.get("real_requests", 0.0))),
         "added_latency_p50_ms": added.milliseconds(50),
@@ -70,13 +70,15 @@
 
 def _change_measures(record: RunRecord) -> dict[str, float]:
     agent = record.timeline.parts.agent
-    hollow = [each for report in record.reports.hollow for each in report.incarnations]
-    real = [_real_incarnation(each, agent) for each in record.timeline.real_incarnations]
-    measures = change_measures(measure_change_delays(agent.published, hollow + real, record.observed_until))
-    if real:
+    hollow_incarnations = [each for report in record.reports.hollow for each in report.incarnations]
+    real_incarnations = [_real_incarnation(each, agent) for each in record.timeline.real_incarnations]
+    measures = change_measures(
+        measure_change_delays(agent.published, hollow_incarnations + real_incarnations, record.observed_until)
+    )
+    if real_incarnations:
         # Report real ingresses separately: hollow ones share a process and delay each other in it.
         measures |= change_measures(
-            measure_change_delays(agent.published, real, record.observed_until), "real_"
+            measure_change_delays(agent.published, real_incarnations, record.observed_until), "real_"
         )
     measures["changes"] = float(len(agent.published))
     return measures
@@ -84,13 +86,13 @@
 
 def _real_incarnation(real: RealIncarnation, agent: Agent) -> Incarnation:
     """Return the incarnation of a real ingress; a watch from a version shows that it acted on that."""
-    ended_at = real.ended if real.ended is not None else float("inf")
+    ended_at = real.ended_at if real.ended_at is not None else float("inf")
     acted = [
         (version, at)
-        for version, at in agent.acted[real_group_name(real.number)]
-        if real.started <= at <= ended_at
+        for version, at in agent.acted[real_group_name(real.ingress_number)]
+        if real.started_at <= at <= ended_at
     ]
-    return Incarnation(number=real.number, started=real.started, ended=real.ended, acted=acted)
+    return Incarnation(number=real.ingress_number, started=real.started_at, ended=real.ended_at, acted=acted)
 
 
 def _real_process_measures(record: RunRecord) -> dict[str, float]:
@@ -102,8 +104,8 @@
 
 
 def _cold_measures(record: RunRecord) -> dict[str, float]:
-    hollow = [report.cold_units for report in record.reports.hollow]
-    units_by_start = merge_cold_units([*hollow, _real_cold_units(record.timeline, record.reports)])
+    hollow_units = [report.cold_units for report in record.reports.hollow]
+    units_by_start = merge_cold_units([*hollow_units, _real_cold_units(record.timeline, record.reports)])
     return {
         "cold_starts": float(len(units_by_start)),
         "cold_peak_ratio": cold_peak_ratio(record.scenario.backend, units_by_start),
--- a/scale/experiment/timeline.py
+++ b/scale/experiment/timeline.py
@@ -1,4 +1,4 @@
-"""Carry out the events of a scenario at their times."""
+"""Run the events of a scenario at their times."""
 
 from __future__ import annotations
 
@@ -24,7 +24,7 @@
 from scale.standins.agent import AgentMode
 
 CLIENT_LEAVE_DELAY_S = 0.3  # time from SIGTERM until clients stop using the ingress
-WEIGHT_STEP = 0.01  # difference that a configuration change makes to a weight
+WEIGHT_STEP = 0.01  # a configuration change switches a weight between 1 and 1 plus this
 
 
 @dataclass(slots=True)
@@ -38,19 +38,19 @@
     real_incarnations: list[RealIncarnation] = field(default_factory=list)
     cold_start_keys: dict[int, str] = field(default_factory=dict)  # key of the last cold start, by listener
 
-    async def play(self) -> None:
-        """Carry out all events; each runs as its own task, because events may overlap."""
+    async def run_events(self) -> None:
+        """Run all events at their times, each in its own task, because events may overlap."""
         self.started_at = time.monotonic()
         async with asyncio.TaskGroup() as group:
             for index, event in enumerate(self.scenario.events):
-                group.create_task(self._play_event(event, random.Random(f"{self.scenario.seed}-{index}")))
+                group.create_task(self._run_event(event, random.Random(f"{self.scenario.seed}-{index}")))
 
     def record_event(self, kind: str, **values: float) -> None:
         """Add an event that takes place now to the record."""
         at = round(time.monotonic() - self.started_at, 3)
         self.events.append(ScenarioEvent(at=at, kind=kind, values=values))
 
-    async def _play_event(self, event: AnyEvent, rng: random.Random) -> None:
+    async def _run_event(self, event: AnyEvent, rng: random.Random) -> None:
         await asyncio.sleep(event.at_s)
         match event:
             case Churn():
@@ -66,13 +66,13 @@
 
     async def _churn_backends(self, event: Churn, rng: random.Random) -> None:
         slots = self.parts.slots
-        chosen = rng.sample(slots, max(1, round(event.share * len(slots))))
-        self.record_event("churn", backends=len(chosen), seconds=event.over_s)
+        chosen_slots = rng.sample(slots, max(1, round(event.share * len(slots))))
+        self.record_event("churn", backends=len(chosen_slots), seconds=event.over_s)
         async with asyncio.TaskGroup() as group:
-            for slot in chosen:
+            for slot in chosen_slots:
                 group.create_task(self._replace_backend(slot))
-                await asyncio.sleep(event.over_s / len(chosen))
-        self.record_event("churn_done", backends=len(chosen))
+                await asyncio.sleep(event.over_s / len(chosen_slots))
+        self.record_event("churn_done", backends=len(chosen_slots))
 
     async def _replace_backend(self, slot: Slot) -> None:
         """List a new backend when the old one begins to drain; remove the old one once it has drained."""
@@ -97,6 +97,7 @@
         slots = [slot for slot in self.parts.slots if slot.zone == zone]
         self.record_event("zone_lost", backends=len(slots), zone=event.zone)
         await self._set_zone_silent(zone, slots, silent=True)
+        # Discovery removes the backends only if the outage lasts longer than its delay.
         notice_delay_s = min(event.noticed_after_s, event.seconds)
         await asyncio.sleep(notice_delay_s)
         if notice_delay_s < event.seconds:
@@ -119,28 +120,28 @@
             await self.parts.backends_child.send(SilentBackends(listeners=listeners, silent=silent))
 
     async def _restart_ingresses(self, event: Restart, rng: random.Random) -> None:
-        hollow = sorted(self.parts.worker_index_by_ingress)
-        chosen = rng.sample(hollow, math.ceil(event.share * len(hollow)))
-        real = rng.sample(
+        hollow_numbers = sorted(self.parts.worker_index_by_ingress)
+        chosen_hollow = rng.sample(hollow_numbers, math.ceil(event.share * len(hollow_numbers)))
+        chosen_real = rng.sample(
             sorted(self.parts.real_ingresses), math.ceil(event.share * len(self.parts.real_ingresses))
         )
-        self.record_event("restart", hollow=len(chosen), real=len(real))
+        self.record_event("restart", hollow=len(chosen_hollow), real=len(chosen_real))
         async with asyncio.TaskGroup() as group:
-            for number in real:
+            for number in chosen_real:
                 group.create_task(self._restart_real(number))
-            for number in chosen:
+            for number in chosen_hollow:
                 worker = self.parts.workers[self.parts.worker_index_by_ingress[number]]
                 await worker.send(RestartHollow(numbers=[number]))
-                await asyncio.sleep(event.over_s / len(chosen))
-        self.record_event("restart_done", hollow=len(chosen), real=len(real))
+                await asyncio.sleep(event.over_s / len(chosen_hollow))
+        self.record_event("restart_done", hollow=len(chosen_hollow), real=len(chosen_real))
 
     async def _restart_real(self, number: int) -> None:
         ingress = self.parts.real_ingresses[number]
         clients = self.parts.clients_child
         incarnation = next(
-            each for each in self.real_incarnations if each.number == number and each.ended is None
+            each for each in self.real_incarnations if each.ingress_number == number and each.ended_at is None
         )
-        incarnation.ended = time.monotonic()
+        incarnation.ended_at = time.monotonic()
         ingress.terminate()
         await asyncio.sleep(CLIENT_LEAVE_DELAY_S)
         if clients is not None:
@@ -164,10 +165,10 @@
         self.record_event("discovery_back")
 
     async def _change_configuration(self, event: Change, rng: random.Random) -> None:
-        count = max(1, round(event.per_s * event.seconds))
-        self.record_event("change", changes=count, per_s=event.per_s)
-        for _ in range(count):
+        change_count = max(1, round(event.per_s * event.seconds))
+        self.record_event("change", changes=change_count, per_s=event.per_s)
+        for _ in range(change_count):
             slot = rng.choice(self.parts.slots)
             slot.weight = round(1.0 + WEIGHT_STEP - (slot.weight - 1.0), 2)
             self.parts.agent.publish(slot.make_entry())
-            await asyncio.sleep(event.seconds / count)
+            await asyncio.sleep(event.seconds / change_count)
--- a/scale/experiment/worker.py
+++ b/scale/experiment/worker.py
@@ -26,11 +26,13 @@
         self.start_message = start
         self.scenario = start.scenario
         self.world = World(start.scenario)
-        self.known = read_known(start.known)
-        self.world.learn(self.known.backends)
-        self.settings = {n: decode_settings(ingress_settings(start.scenario, n)) for n in start.numbers}
+        self.known_endpoints = read_known(start.known)
+        self.world.learn(self.known_endpoints.backends)
+        self.settings_by_ingress = {
+            n: decode_settings(ingress_settings(start.scenario, n)) for n in start.numbers
+        }
         self.incarnation_counts: Tally[int] = Tally()
-        self.finished: list[Incarnation] = []
+        self.ended_incarnations: list[Incarnation] = []
         self.ingresses: dict[int, HollowIngress] = {}
         self.is_under_load = False
         self.lag_sampler = LagSampler(self.world.worker_lag)
@@ -38,18 +40,18 @@
     async def start(self) -> None:
         """Create all ingresses, and let the event loop run between two of them."""
         for number in self.start_message.numbers:
-            self._create(number)
+            self._create_ingress(number)
             await asyncio.sleep(0)
 
-    def _create(self, number: int) -> None:
+    def _create_ingress(self, number: int) -> None:
         setup = HollowSetup(
             self.world,
             number,
             self.incarnation_counts[number],
             self.start_message.agent,
             self.start_message.counter,
-            self.settings[number],
-            self.known,
+            self.settings_by_ingress[number],
+            self.known_endpoints,
         )
         ingress = HollowIngress(setup)
         self.incarnation_counts[number] += 1
@@ -77,10 +79,10 @@
         for number in numbers:
             ingress = self.ingresses.pop(number)
             await ingress.stop()
-            self.finished.append(ingress.incarnation)
-            self._create(number)
+            self.ended_incarnations.append(ingress.incarnation)
+            self._create_ingress(number)
 
-    async def _drain(self) -> None:
+    async def _wait_for_open_requests(self) -> None:
         """Wait until no request is open, but not longer than the longest deadline plus DRAIN_SLACK_S."""
         longest_deadline_s = max(each.deadline_s for each in self.scenario.classes)
         with contextlib.suppress(TimeoutError):
@@ -92,16 +94,16 @@
         """Wait for the answers to open requests, stop all ingresses and return the report."""
         for ingress in self.ingresses.values():
             ingress.stop_load()
-        await self._drain()
+        await self._wait_for_open_requests()
         self.lag_sampler.stop()
         for ingress in self.ingresses.values():
             ingress.requests.close("lost")
-            self.finished.append(ingress.incarnation)
+            self.ended_incarnations.append(ingress.incarnation)
         await asyncio.gather(*(ingress.stop() for ingress in self.ingresses.values()))
         world = self.world
         return HollowReport(
             counts=dict(world.counts),
-            incarnations=self.finished,
+            incarnations=self.ended_incarnations,
             cold_units=world.cold_units,
             request_cpu=world.request_cpu.encode(),
             change_cpu=world.change_cpu.encode(),
--- a/scale/results.py
+++ b/scale/results.py
@@ -14,7 +14,7 @@
 SCHEMA_VERSION: Literal[1] = 1
 FILE_TIME_FORMAT = "%Y%m%dT%H%M%SZ"  # UTC time in the name of a result file
 
-Count = Annotated[int, Field(ge=0)]
+NonNegativeInt = Annotated[int, Field(ge=0)]
 
 
 class ResultError(ScaleError):
@@ -35,7 +35,7 @@
     python: str  # version
     load_before: float  # load average over 1 minute
     load_after: float  # load average over 1 minute
-    busy_others: Count  # other processes that used more than 5% of a core
+    busy_others: NonNegativeInt  # other processes that used more than 5% of a core
     busy_others_cores: float  # cores that these processes used together
     note: str = ""
 
--- a/scale/scenario.py
+++ b/scale/scenario.py
@@ -26,16 +26,16 @@
 
 
 class Sizes(StrictModel):
-    """The sizes of the fleet; the request rates are those of one hollow and of one real ingress."""
+    """The sizes of the fleet and its rates of requests."""
 
-    hollow: Annotated[int, Field(ge=0, le=10_000)]
-    real: Annotated[int, Field(ge=0, le=32)] = 0
-    workers: Annotated[int, Field(ge=1, le=64)] = 2
+    hollow: Annotated[int, Field(ge=0, le=10_000)]  # hollow ingresses
+    real: Annotated[int, Field(ge=0, le=32)] = 0  # real ingresses
+    workers: Annotated[int, Field(ge=1, le=64)] = 2  # processes that run the hollow ingresses
     backends: Annotated[int, Field(ge=1, le=200_000)]
     zones: Annotated[int, Field(ge=1, le=100)] = 3
     tenants: Annotated[int, Field(ge=1)]
-    requests_per_s: NonNegative
-    real_requests_per_s: NonNegative = 0.0
+    requests_per_s: NonNegative  # at each hollow ingress
+    real_requests_per_s: NonNegative = 0.0  # at each real ingress
 
     @property
     def ingresses(self) -> int:
@@ -44,23 +44,18 @@
 
 
 class BackendModel(StrictModel):
-    """The behaviour of a backend.
+    """The behaviour of all backends."""
 
-    The latency is log-normal with the median `latency_ms`.  `capacity` is that of a warm backend, in units a
-    second; a cold one has `cold_share` of it at first and all of it after `cold_s`.  A backend is overloaded
-    once it gets `fall_factor` times its capacity over `fall_s`.
-    """
-
-    latency_ms: Positive = 20.0
-    latency_sigma: NonNegative = 0.5
-    capacity: Positive = 50.0
-    queue_s: Positive = 1.0
-    cold_s: Positive = 10.0
-    cold_share: Share = 0.2
-    fall_factor: Positive = 2.5
-    fall_s: Positive = 2.0
-    drain_s: Positive = 1.0
-    keepalive_s: Positive = 30.0
+    latency_ms: Positive = 20.0  # median of the log-normal distribution
+    latency_sigma: NonNegative = 0.5  # standard deviation of the latency's logarithm
+    capacity: Positive = 50.0  # units a second that a warm backend serves
+    queue_s: Positive = 1.0  # longest wait in the queue; the backend rejects requests beyond that
+    cold_s: Positive = 10.0  # time from a start until the backend is warm
+    cold_share: Share = 0.2  # share of the capacity that a backend has when it starts
+    fall_factor: Positive = 2.5  # multiple of the present capacity that overloads a cold backend ...
+    fall_s: Positive = 2.0  # ... over this time
+    drain_s: Positive = 1.0  # time from the start of a drain until the backend leaves the endpoint list
+    keepalive_s: Positive = 30.0  # time after which an idle connection is closed
 
 
 class ClassModel(StrictModel):
@@ -68,12 +63,14 @@
 
     name: Annotated[str, Field(pattern=r"^[a-z][a-z0-9-]*$")]
     share: Positive = 1.0
-    aim_s: Positive
+    aim_s: Positive  # latency objective
     deadline_s: Positive
-    worth: Positive = 1.0
-    late_worth: NonNegative = 0.0
-    semantics: Literal["safe", "keyed", "unsafe"] = "safe"
-    dedup_window_s: NonNegative = 0.0
+    worth: Positive = 1.0  # priority weight
+    late_worth: NonNegative = 0.0  # share of the weight that an answer beyond the objective keeps
+    semantics: Literal["safe", "keyed", "unsafe"] = (
+        "safe"  # idempotent, with an idempotency key, or not idempotent
+    )
+    dedup_window_s: NonNegative = 0.0  # time for which backends drop repeats of a key
 
 
 class PlanModel(StrictModel):
@@ -81,22 +78,22 @@
 
     name: Annotated[str, Field(pattern=r"^[a-z][a-z0-9-]*$")]
     share: Positive = 1.0
-    rate: Positive
-    burst: Positive
+    rate: Positive  # quota, units a second
+    burst: Positive  # units
     spread: Annotated[int, Field(ge=1)] = 1
-    excess_cost: NonNegative = 0.5
-    ceiling_rate: NonNegative = 0.0
-    ceiling_burst: NonNegative = 0.0
-    ceiling_slack: NonNegative = 0.0
+    excess_cost: NonNegative = 0.5  # share of its weight that a request beyond the quota costs
+    ceiling_rate: NonNegative = 0.0  # units a second over all ingresses
+    ceiling_burst: NonNegative = 0.0  # units
+    ceiling_slack: NonNegative = 0.0  # units by which the ceiling may be exceeded
 
 
 class CounterModel(StrictModel):
     """The shared counter: names are distributed over `parts`, each with a limited call rate and queue."""
 
-    timeout_ms: Positive = 50.0
+    timeout_ms: Positive = 50.0  # time that an ingress waits for an answer
     parts: Annotated[int, Field(ge=1, le=1024)] = 4
-    calls_per_s: Positive = 2000.0
-    queue: Annotated[int, Field(ge=1)] = 200
+    calls_per_s: Positive = 2000.0  # of one part
+    queue: Annotated[int, Field(ge=1)] = 200  # most calls that wait at one part
 
 
 class Event(StrictModel):
@@ -161,7 +158,7 @@
     sizes: Sizes
     backend: BackendModel = BackendModel()
     counter: CounterModel = CounterModel()
-    membership: Literal["pushed", "on_request"] = "pushed"
+    membership: Literal["pushed", "on_request"] = "pushed"  # ingresses watch discovery, or poll it
     classes: Annotated[tuple[ClassModel, ...], Field(min_length=1)]
     plans: Annotated[tuple[PlanModel, ...], Field(min_length=1)]
     events: tuple[AnyEvent, ...] = ()
--- a/tests/scale/experiment/test_change_delays.py
+++ b/tests/scale/experiment/test_change_delays.py
@@ -16,6 +16,7 @@
     ]
     delays = measure_change_delays(published, incarnations, observed_until=40.0)
     assert delays.delays == [0.5, 1.0, 6.0]
+    # The second change is not in force in time, because one ingress acted on it after 6 s.
     assert (delays.missing_count, delays.in_force_share) == (0, 0.5)
 
 
--- a/tests/scale/experiment/test_run_smoke.py
+++ b/tests/scale/experiment/test_run_smoke.py
@@ -18,6 +18,7 @@
 
 SMOKE_SCENARIO = Path(budget.__file__).parent / "scenarios" / "smoke.toml"
 REAL_COMMAND = f"exec {sys.executable} -m ingress"
+# A program in place of a real ingress: it answers PING and exits at the first other command.
 EXIT_AT_FIRST_REQUEST_PROGRAM = """
 import os, socket
 
@@ -120,6 +121,7 @@
     assert len(result.output.strip().splitlines()) == 1
 
 
+# The signal, the number of hollow ingresses, and the number of child processes.
 INTERRUPTIONS = [(signal.SIGINT, 8, 4), (signal.SIGTERM, 0, 3)]
 
 
