--- a/scale/experiment/messages.py
+++ b/scale/experiment/messages.py
@@ -20,13 +20,16 @@
     """Request to the backends' process to open a number of listeners."""
 
     kind: Literal["start_backends"] = "start_backends"
-    listeners: int
+    listeners: int  # number to open
     model: BackendModel
     seed: int
 
 
 class StartClients(Message):
-    """Request to the clients' process to connect to the real ingresses, numbered from `first_number` on."""
+    """Request to the clients' process to create a client for each real ingress.
+
+    The numbers of the real ingresses begin at `first_number`, in the order of `addresses`.
+    """
 
     kind: Literal["start_clients"] = "start_clients"
     scenario: Scenario
@@ -58,7 +61,7 @@
     """Request to the backends' process to make listeners stop answering, or answer again."""
 
     kind: Literal["silent_backends"] = "silent_backends"
-    listeners: list[int]
+    listeners: list[int]  # indices
     silent: bool
 
 
@@ -66,7 +69,7 @@
     """Notice to the backends' process that the backend of a listener has just been started."""
 
     kind: Literal["cold_backend"] = "cold_backend"
-    listener: int
+    listener: int  # index
     started: float  # Unix time
 
 
--- a/scale/experiment/pipe.py
+++ b/scale/experiment/pipe.py
@@ -30,7 +30,7 @@
 
 
 async def _run_body(body: Callable[[], Awaitable[None]]) -> Exception | None:
-    """Run a child's body and return the exception of any class that ended it, for the report to the runner."""
+    """Run a child's body and return the exception, of any class, that ended it, or None."""
     (outcome,) = await asyncio.gather(body(), return_exceptions=True)
     if isinstance(outcome, Exception):
         return outcome
--- a/scale/experiment/settings.py
+++ b/scale/experiment/settings.py
@@ -7,7 +7,7 @@
 from scale.scenario import BackendModel, ClassModel, CounterModel, PlanModel, Scenario
 from scale.standins.traffic import MAX_UNITS
 
-TICK_S = 0.002
+TICK_S = 0.002  # resolution of an ingress's times
 REAL_INGRESS_MEMORY_MB = 192  # memory limit of a real ingress
 REAL_INGRESS_SOCKETS = 1024  # socket limit of a real ingress
 
