--- a/scale/report/__init__.py
+++ b/scale/report/__init__.py
@@ -1,1 +1,1 @@
-"""Reads saved results, fits their growth, plots it and renders the capacity page."""
+"""Read the saved results, fit how costs grow with size, plot them and render the capacity page."""
--- a/scale/report/constants.py
+++ b/scale/report/constants.py
@@ -1,4 +1,4 @@
-"""Finds the constants that limit the design in the source of the ingress, so that the page can't drift."""
+"""Read the constants that limit the design from the ingress source, so that the page shows current values."""
 
 from __future__ import annotations
 
@@ -6,14 +6,14 @@
 from dataclasses import dataclass
 from pathlib import Path
 
-from scale.report.figures import MISSING, Figure, computed
+from scale.report.figures import MISSING, Figure, computed_figure
 
-PACKAGE = "ingress"
+PACKAGE_FOLDER = "ingress"
 
 
 @dataclass(frozen=True, slots=True)
 class Constant:
-    """A number that a module assigns at its top level."""
+    """A numeric constant that a module assigns at its top level."""
 
     name: str
     value: float
@@ -23,42 +23,45 @@
         return f"`{self.name} = {self.value:,.10g}` in `{self.file}`"
 
 
-def _number(node: ast.expr) -> float | None:
-    """The value of a number, or of a product of numbers; None for anything else."""
+def _evaluate_number(node: ast.expr) -> float | None:
+    """Return the value of a numeric literal or of a product of them; None for any other expression."""
     if isinstance(node, ast.Constant) and isinstance(node.value, int | float):
         return float(node.value)
     if isinstance(node, ast.BinOp) and isinstance(node.op, ast.Mult):
-        left, right = _number(node.left), _number(node.right)
+        left, right = _evaluate_number(node.left), _evaluate_number(node.right)
         return None if left is None or right is None else left * right
     return None
 
 
 def read_constants(root: Path) -> dict[str, Constant]:
-    """All constants of the package under a root, by name; of two with one name, the first file's."""
-    found: dict[str, Constant] = {}
-    for path in sorted((root / PACKAGE).rglob("*.py")):
+    """Return all constants of the `ingress` package below `root`, by name.
+
+    If several files define the same name, the first file in path order wins.
+    """
+    constants: dict[str, Constant] = {}
+    for path in sorted((root / PACKAGE_FOLDER).rglob("*.py")):
         for node in ast.parse(path.read_text(encoding="utf-8")).body:
             if not isinstance(node, ast.Assign) or len(node.targets) != 1:
                 continue
-            target, value = node.targets[0], _number(node.value)
+            target, value = node.targets[0], _evaluate_number(node.value)
             if isinstance(target, ast.Name) and value is not None:
                 constant = Constant(target.id, value, path.relative_to(root).as_posix())
-                found.setdefault(target.id, constant)
-    return found
+                constants.setdefault(target.id, constant)
+    return constants
 
 
 class Constants:
-    """The constants of a checkout.  One that the code no longer has is reported as missing."""
+    """The numeric constants of a checkout.  A constant that the code does not define counts as missing."""
 
     def __init__(self, root: Path) -> None:
-        self._found = read_constants(root)
+        self._constants = read_constants(root)
 
-    def figure(self, name: str) -> Figure:
-        """The constant's value; missing if the code has none of that name."""
-        constant = self._found.get(name)
-        return MISSING if constant is None else computed(constant.value)
+    def get_figure(self, name: str) -> Figure:
+        """Return the constant's value as a figure, or MISSING if the code does not define the constant."""
+        constant = self._constants.get(name)
+        return MISSING if constant is None else computed_figure(constant.value)
 
-    def text(self, name: str) -> str:
-        """The constant with its value and file."""
-        constant = self._found.get(name)
+    def describe(self, name: str) -> str:
+        """Return the constant's name, value and file as text for the page."""
+        constant = self._constants.get(name)
         return f"`{name}` (not in this code)" if constant is None else str(constant)
--- a/scale/report/evidence.py
+++ b/scale/report/evidence.py
@@ -1,4 +1,4 @@
-"""What the saved results say of a measure at the target sizes."""
+"""Look up measures in the saved results and estimate them at the target sizes."""
 
 from __future__ import annotations
 
@@ -7,100 +7,106 @@
 
 from scale.report.figures import MISSING, Figure, Mark
 from scale.report.fits import Estimate, Growth
-from scale.report.targets import DIMENSIONS, dimension_of
+from scale.report.targets import DIMENSION_TARGETS, dimension_of
 from scale.report.versions import SavedResult, SelectedRuns
 
-NEAR_TARGET_SHARE = 0.95  # of a target: a point that has this much stands for it
+MIN_TARGET_SHARE = 0.95  # a point with at least this share of a target size counts as measured at the target
 
 Version = Literal["before", "after"]
 
 
-def _figure(estimate: Estimate, files: tuple[str, ...]) -> Figure:
+def _figure_of(estimate: Estimate, files: tuple[str, ...]) -> Figure:
+    """Return an estimate as a figure that names its result files."""
     mark = Mark.MEASURED if estimate.measured else Mark.EXTRAPOLATED
     return Figure(mark, estimate.value, estimate.low, estimate.high, files)
 
 
-def _fleet(saved: SavedResult) -> tuple[float, str]:
-    """The ingresses of a scenario, then its name."""
-    return max((point.sizes.get("ingresses", 0.0) for point in saved.result.points), default=0.0), saved.file
+def _scenario_sort_key(saved: SavedResult) -> tuple[float, str]:
+    """Return a sort key: the largest number of ingresses in a scenario's run, then its file name."""
+    return max(
+        (point.sizes.get("ingresses", 0.0) for point in saved.result.points), default=0.0
+    ), saved.file_name
 
 
 class Evidence:
-    """Answers questions about the selected results, one figure at a time."""
+    """Look-ups and estimates of figures in the selected results."""
 
-    def __init__(self, selected: SelectedRuns, targets: Mapping[str, float] = DIMENSIONS) -> None:
+    def __init__(self, selected: SelectedRuns, targets: Mapping[str, float] = DIMENSION_TARGETS) -> None:
         self.selected = selected
         self.targets = targets
 
     def target(self, sweep: str) -> float:
-        """The target of the size that a sweep varies; 0 if it has none."""
+        """Return the target of the dimension that a sweep varies; 0 if it has no target."""
         return self.targets.get(dimension_of(sweep), 0.0)
 
     def run(self, sweep: str, version: Version = "after") -> SavedResult | None:
-        """The run of a sweep on one of the two commits."""
+        """Return the run of a sweep on the older or the newer commit; None if there is none."""
         runs = self.selected.sweeps.get(sweep)
-        return None if runs is None else runs.runs().get(version)
+        return None if runs is None else runs.runs_by_version().get(version)
 
-    def growth(self, sweep: str, measure: str, version: Version = "after") -> Growth | None:
-        """How a measure grows over a sweep; None if that was not measured."""
+    def fit_growth(self, sweep: str, measure: str, version: Version = "after") -> Growth | None:
+        """Return the fits of a measure over a sweep; None if it was not measured at enough sizes."""
         run = self.run(sweep, version)
         return None if run is None else run.growth(measure)
 
     def at_target(self, sweep: str, measure: str, version: Version = "after") -> Figure:
-        """A measure at the target of one size, the others as in the sweep."""
-        run, growth = self.run(sweep, version), self.growth(sweep, measure, version)
+        """Estimate a measure with one dimension at its target and the others as they are in the sweep."""
+        run, growth = self.run(sweep, version), self.fit_growth(sweep, measure, version)
         target = self.target(sweep)
         if run is None or growth is None or target <= 0:
             return MISSING
-        return _figure(growth.estimate(target), (run.file,))
+        return _figure_of(growth.estimate(target), (run.file_name,))
 
-    def at_targets(self, measure: str, *sweeps: str, version: Version = "after") -> Figure:
-        """A measure with several sizes at their targets at once: as measured where a point has them all.
-        Else the value is that of the costliest sweep, and the high end adds what the others grow by."""
-        found = []
+    def estimate_at_targets(self, measure: str, *sweeps: str, version: Version = "after") -> Figure:
+        """Estimate a measure with the dimensions of several sweeps at their targets at once.
+
+        If a point reaches all of these targets, its value is returned as measured.  Otherwise the value is
+        that of the costliest sweep alone, and the high end of the range adds the growth of the other sweeps.
+        """
+        candidates = []
         for sweep in sweeps:
-            run, growth = self.run(sweep, version), self.growth(sweep, measure, version)
+            run, growth = self.run(sweep, version), self.fit_growth(sweep, measure, version)
             if run is None or growth is None:
                 continue
-            whole = self._whole(run, measure, sweeps)
-            if whole is not None:
-                return whole
+            measured = self._measured_at_targets(run, measure, sweeps)
+            if measured is not None:
+                return measured
             figure = self.at_target(sweep, measure, version)
-            found.append((figure, max(0.0, figure.high - growth.costs[0])))
-        if not found:
+            candidates.append((figure, max(0.0, figure.high - growth.costs[0])))
+        if not candidates:
             return MISSING
-        largest, own_growth = max(found, key=lambda each: each[0].value)
-        others = sum(growth for _, growth in found) - own_growth
-        files = tuple(file for figure, _ in found for file in figure.files)
-        return Figure(Mark.EXTRAPOLATED, largest.value, largest.low, largest.high + others, files)
+        costliest, own_growth = max(candidates, key=lambda candidate: candidate[0].value)
+        other_growth = sum(growth for _, growth in candidates) - own_growth
+        files = tuple(file for figure, _ in candidates for file in figure.files)
+        return Figure(Mark.EXTRAPOLATED, costliest.value, costliest.low, costliest.high + other_growth, files)
 
-    def _whole(self, run: SavedResult, measure: str, sweeps: tuple[str, ...]) -> Figure | None:
-        """The measure at a point that has all of the sizes at their targets; None if there is none."""
+    def _measured_at_targets(self, run: SavedResult, measure: str, sweeps: tuple[str, ...]) -> Figure | None:
+        """Return the measure at a point that reaches the targets of all sweeps; None if no point does."""
         for point in run.result.points:
-            reached = all(
-                point.sizes.get(dimension_of(sweep), 0.0) >= self.target(sweep) * NEAR_TARGET_SHARE
+            has_all_targets = all(
+                point.sizes.get(dimension_of(sweep), 0.0) >= self.target(sweep) * MIN_TARGET_SHARE
                 for sweep in sweeps
             )
-            if reached and measure in point.measures:
+            if has_all_targets and measure in point.measures:
                 value = point.measures[measure]
-                return Figure(Mark.MEASURED, value, value, value, (run.file,))
+                return Figure(Mark.MEASURED, value, value, value, (run.file_name,))
         return None
 
-    def size_at_limit(
+    def estimate_size_at_limit(
         self, sweep: str, measure: str, limit: float, version: Version = "after"
     ) -> Figure | None:
-        """The size at which a measure passes a limit; None if its fits never do."""
-        run, growth = self.run(sweep, version), self.growth(sweep, measure, version)
+        """Estimate the size at which a measure exceeds a limit; None if the fits never exceed it."""
+        run, growth = self.run(sweep, version), self.fit_growth(sweep, measure, version)
         if run is None or growth is None:
             return MISSING
         estimate = growth.size_for(limit)
-        return None if estimate is None else _figure(estimate, (run.file,))
+        return None if estimate is None else _figure_of(estimate, (run.file_name,))
 
-    def scenario(self, measure: str) -> Figure:
-        """A measure at the last point of the scenario with the largest fleet that has it."""
-        runs = sorted(self.selected.scenarios.values(), key=_fleet)
+    def scenario_figure(self, measure: str) -> Figure:
+        """Return a measure at the last point of the scenario with the largest fleet that recorded it."""
+        runs = sorted(self.selected.scenarios.values(), key=_scenario_sort_key)
         for saved in reversed(runs):
             values = [point.measures[measure] for point in saved.result.points if measure in point.measures]
             if values:
-                return Figure(Mark.MEASURED, values[-1], values[-1], values[-1], (saved.file,))
+                return Figure(Mark.MEASURED, values[-1], values[-1], values[-1], (saved.file_name,))
         return MISSING
--- a/scale/report/figures.py
+++ b/scale/report/figures.py
@@ -1,4 +1,4 @@
-"""Figures of the page: a value with its range, how it was obtained, and the files that it comes from."""
+"""Figures of the page: a value with its range, how it was obtained, and the result files behind it."""
 
 from __future__ import annotations
 
@@ -7,17 +7,17 @@
 from enum import IntEnum
 from math import floor, isfinite, log10
 
-DIGITS = 2  # significant digits that are shown of what was measured
-COMPUTED_DIGITS = 3  # and of what follows from figures that are given
-NEARLY_ALL = 0.9
-MIN_PLAIN = 1e-5  # below it numbers are shown with an exponent
-TEN_THOUSAND = 10_000  # from here on numbers are shown with separators
+MEASURED_DIGITS = 2  # significant digits shown of measured and extrapolated figures
+COMPUTED_DIGITS = 3  # significant digits shown of figures computed from targets and constants
+NEARLY_ALL_SHARE = 0.9  # of shares above this, the difference from 1 is rounded instead
+MIN_DECIMAL_NOTATION = 1e-5  # smaller numbers are shown with an exponent
+MIN_WITHOUT_DECIMALS = 10_000  # numbers from here on are shown as whole numbers
 
 
 class Mark(IntEnum):
     """How a figure was obtained, the most reliable first."""
 
-    COMPUTED = 0  # arithmetic on figures that were asked for or given, and on constants of the code
+    COMPUTED = 0  # arithmetic on the targets, on documented figures of the site and on constants of the code
     MEASURED = 1
     EXTRAPOLATED = 2
     MISSING = 3
@@ -26,32 +26,35 @@
         return f"*{self.name.lower()}*"
 
 
-def round_to(value: float, digits: int = DIGITS) -> float:
-    """A value rounded to so many significant digits."""
+def round_to_digits(value: float, digits: int = MEASURED_DIGITS) -> float:
+    """Round a value to the given number of significant digits."""
     if value == 0 or not isfinite(value):
         return value
     return round(value, digits - 1 - floor(log10(abs(value))))
 
 
-def number(value: float, digits: int = DIGITS) -> str:
-    """A value as the page shows it: rounded, in words from a million on.  A share that is nearly all shows
-    how much is not: rounded itself, 0.996 would pass for 1."""
-    if NEARLY_ALL < value < 1:
-        return f"{1 - round_to(1 - value, digits):.10g}"
-    rounded = round_to(value, digits)
+def format_number(value: float, digits: int = MEASURED_DIGITS) -> str:
+    """Return a value as the page shows it: rounded, and with the word million, billion or trillion.
+
+    For a share between 0.9 and 1, its difference from 1 is rounded instead, because 0.996 itself would be
+    rounded to 1.
+    """
+    if NEARLY_ALL_SHARE < value < 1:
+        return f"{1 - round_to_digits(1 - value, digits):.10g}"
+    rounded = round_to_digits(value, digits)
     for size, word in ((1e12, " trillion"), (1e9, " billion"), (1e6, " million")):
         if abs(rounded) >= size:
-            return f"{round_to(rounded / size, digits):g}{word}"
-    if abs(rounded) >= TEN_THOUSAND or float(rounded).is_integer():
+            return f"{round_to_digits(rounded / size, digits):g}{word}"
+    if abs(rounded) >= MIN_WITHOUT_DECIMALS or float(rounded).is_integer():
         return f"{rounded:,.0f}"
-    if abs(rounded) < MIN_PLAIN:
+    if abs(rounded) < MIN_DECIMAL_NOTATION:
         return f"{rounded:g}"
     return f"{rounded:,.10f}".rstrip("0").rstrip(".")
 
 
 @dataclass(frozen=True, slots=True)
 class Figure:
-    """A value with the range between the two fits; a missing one holds nothing."""
+    """A value with the range that the two fits span.  A missing figure has no value."""
 
     mark: Mark
     value: float = 0.0
@@ -59,44 +62,46 @@
     high: float = 0.0
     files: tuple[str, ...] = ()
 
-    def map(self, change: Callable[[float], float]) -> Figure:
-        """The figure after some arithmetic that grows or falls with it throughout."""
+    def map(self, convert: Callable[[float], float]) -> Figure:
+        """Return the figure converted by a monotonic function."""
         if self.mark is Mark.MISSING:
             return self
-        value, low, high = change(self.value), change(self.low), change(self.high)
+        value, low, high = convert(self.value), convert(self.low), convert(self.high)
         return Figure(self.mark, value, min(low, high), max(low, high), self.files)
 
     def text(self, unit: str = "", scale: float = 1.0) -> str:
-        """The figure as the page shows it, with its range where the fits differ visibly."""
+        """Return the figure as the page shows it, with its range if the rounded ends differ."""
         if self.mark is Mark.MISSING:
             return "not measured"
-        digits = COMPUTED_DIGITS if self.mark is Mark.COMPUTED else DIGITS
-        shown, low, high = (number(each * scale, digits) for each in (self.value, self.low, self.high))
-        span = "" if low == high else f" ({low} to {high})"
-        return f"{shown}{unit if unit == '%' else ' ' + unit if unit else ''}{span}"
+        digits = COMPUTED_DIGITS if self.mark is Mark.COMPUTED else MEASURED_DIGITS
+        value_text, low, high = (
+            format_number(number * scale, digits) for number in (self.value, self.low, self.high)
+        )
+        range_text = "" if low == high else f" ({low} to {high})"
+        return f"{value_text}{unit if unit == '%' else ' ' + unit if unit else ''}{range_text}"
 
 
 MISSING = Figure(Mark.MISSING)
 
 
-def computed(value: float) -> Figure:
-    """A figure that follows from what is asked for or given."""
+def computed_figure(value: float) -> Figure:
+    """Return a figure that was computed from targets and other known values."""
     return Figure(Mark.COMPUTED, value, value, value)
 
 
-def combine(join: Callable[[float, float], float], one: Figure, other: Figure) -> Figure:
-    """Two figures joined by arithmetic that grows with both; missing if one of them is."""
-    if Mark.MISSING in (one.mark, other.mark):
+def combine(operation: Callable[[float, float], float], first: Figure, second: Figure) -> Figure:
+    """Combine two figures by an operation that increases with both; MISSING if either of them is missing."""
+    if Mark.MISSING in (first.mark, second.mark):
         return MISSING
     return Figure(
-        max(one.mark, other.mark),
-        join(one.value, other.value),
-        join(one.low, other.low),
-        join(one.high, other.high),
-        tuple(dict.fromkeys(one.files + other.files)),
+        max(first.mark, second.mark),
+        operation(first.value, second.value),
+        operation(first.low, second.low),
+        operation(first.high, second.high),
+        tuple(dict.fromkeys(first.files + second.files)),
     )
 
 
-def weakest(figures: list[Figure]) -> Mark:
-    """The mark of a row: that of its least reliable figure."""
+def least_reliable_mark(figures: list[Figure]) -> Mark:
+    """Return the mark of the least reliable figure; COMPUTED if there are no figures."""
     return max((figure.mark for figure in figures), default=Mark.COMPUTED)
--- a/scale/report/fits.py
+++ b/scale/report/fits.py
@@ -1,4 +1,4 @@
-"""Fits of a measured cost over a size: a power law and a straight line, and what they say beyond."""
+"""Fit a measured cost over a size by a power law and by a straight line, and extrapolate both."""
 
 from __future__ import annotations
 
@@ -9,47 +9,53 @@
 import numpy as np
 from numpy.typing import NDArray
 
-MIN_POINTS = 3  # sizes that a fit needs
-FLAT_GROWTH = 1e-3  # an exponent, or a rise over the whole sweep as a share, that counts as no growth
-MAX_LOG_SIZE = math.log(1e15)  # of a size: a fit that is nearly flat reaches a cost at none that matters
+MIN_FIT_SIZES = 3  # different sizes that a fit needs
+# Exponent, or relative change over all measured sizes, up to which a cost counts as constant.
+FLAT_GROWTH = 1e-3
+# Natural logarithm of the largest size that is reported: a nearly flat power law reaches a cost only at sizes
+# that no fleet has.
+MAX_LOG_SIZE = math.log(1e15)
 
 Floats = NDArray[np.float64]
 
 
 @dataclass(frozen=True, slots=True)
 class PowerLaw:
-    """cost = factor * size ** exponent; `r2` is taken on the logarithms."""
+    """The fit cost = factor * size ** exponent; `r2` is computed on the logarithms."""
 
     factor: float
     exponent: float
     r2: float
 
-    def at(self, size: float) -> float:
-        """The cost at a size."""
+    def cost_at(self, size: float) -> float:
+        """Return the cost at a size."""
         return float(self.factor * size**self.exponent)
 
     def size_for(self, cost: float) -> float | None:
-        """The size whose cost is `cost`; None if it does not grow, or at no size that could matter."""
+        """Return the size at which the cost is `cost`.
+
+        Return None if the cost does not grow, or if the size is larger than any realistic one.
+        """
         if self.exponent <= FLAT_GROWTH or cost <= 0:
             return None
-        exponent = math.log(cost / self.factor) / self.exponent
-        return math.exp(exponent) if exponent < MAX_LOG_SIZE else None
+        log_size = math.log(cost / self.factor) / self.exponent
+        return math.exp(log_size) if log_size < MAX_LOG_SIZE else None
 
 
 @dataclass(frozen=True, slots=True)
 class Line:
-    """cost = base + slope * size."""
+    """The fit cost = base + slope * size."""
 
     base: float
     slope: float
     r2: float
 
-    def at(self, size: float) -> float:
-        """The cost at a size, never below 0."""
+    def cost_at(self, size: float) -> float:
+        """Return the cost at a size, at least 0."""
         return max(0.0, self.base + self.slope * size)
 
     def size_for(self, cost: float) -> float | None:
-        """The size whose cost is `cost`; None if it does not grow or is above that from the start."""
+        """Return the size above 0 at which the cost is `cost`; None if there is none or costs do not grow."""
         if self.slope <= 0 or cost <= self.base:
             return None
         return (cost - self.base) / self.slope
@@ -57,77 +63,86 @@
 
 @dataclass(frozen=True, slots=True)
 class Growth:
-    """Both fits of one measure over one dimension, with the points that they come from."""
+    """Both fits of one measure over one dimension, with the points that were fitted."""
 
     sizes: tuple[float, ...]
     costs: tuple[float, ...]
     line: Line
-    power: PowerLaw | None  # None where a size or a cost is not above 0
-    better: Literal["line", "power"]
+    power: PowerLaw | None  # None if a size or a cost is not above 0
+    better_kind: Literal["line", "power"]
 
     @property
-    def chosen(self) -> Line | PowerLaw:
-        """The fit that describes the upper half of the sizes better."""
-        return self.power if self.better == "power" and self.power is not None else self.line
+    def better_fit(self) -> Line | PowerLaw:
+        """Return the fit with the smaller error over the upper half of the sizes."""
+        return self.power if self.better_kind == "power" and self.power is not None else self.line
 
     @property
-    def grows(self) -> bool:
-        """Whether the line rises over the measured sizes by more than what rounding leaves."""
+    def is_growing(self) -> bool:
+        """Tell whether the line rises over the measured sizes by more than the share FLAT_GROWTH."""
         return self.line.slope * (self.sizes[-1] - self.sizes[0]) > FLAT_GROWTH * max(self.costs)
 
     @property
-    def changes(self) -> bool:
-        """Whether any cost differs from the first by more than what rounding leaves."""
+    def is_varying(self) -> bool:
+        """Tell whether the measured costs differ by more than the share FLAT_GROWTH of the highest."""
         return max(self.costs) - min(self.costs) > FLAT_GROWTH * max(map(abs, self.costs))
 
     def estimate(self, size: float) -> Estimate:
-        """The cost at a size: between measured points if it lies among them, else by the fits.  A line that
-        falls would end below zero; beyond the points it is held at the least cost that was measured."""
+        """Estimate the cost at a size.
+
+        Interpolate between the measured points if the size lies among them, and extrapolate by the fits
+        otherwise.  A falling line would become negative, so it is not extrapolated below the lowest measured
+        cost.
+        """
         if self.sizes[0] <= size <= self.sizes[-1]:
             cost = float(np.interp(size, self.sizes, self.costs))
             return Estimate(cost, cost, cost, measured=True)
-        costs = {fit: self._held(fit, size) for fit in (self.line, self.power) if fit is not None}
-        return Estimate(min(costs.values()), costs[self.chosen], max(costs.values()), measured=False)
+        costs = {fit: self._cost_by_fit(fit, size) for fit in (self.line, self.power) if fit is not None}
+        return Estimate(min(costs.values()), costs[self.better_fit], max(costs.values()), measured=False)
 
-    def fitted(self, size: float) -> float:
-        """The cost at a size by the chosen fit alone."""
-        return self._held(self.chosen, size)
+    def fitted_cost(self, size: float) -> float:
+        """Return the cost at a size by the better fit alone."""
+        return self._cost_by_fit(self.better_fit, size)
 
-    def _held(self, fit: Line | PowerLaw, size: float) -> float:
-        falls = isinstance(fit, Line) and fit.slope < 0
-        return max(fit.at(size), min(self.costs)) if falls else fit.at(size)
+    def _cost_by_fit(self, fit: Line | PowerLaw, size: float) -> float:
+        """Return a fit's cost at a size; of a falling line, at least the lowest measured cost."""
+        is_falling = isinstance(fit, Line) and fit.slope < 0
+        return max(fit.cost_at(size), min(self.costs)) if is_falling else fit.cost_at(size)
 
     def size_for(self, cost: float) -> Estimate | None:
-        """The size at which the cost passes a limit; None if it never does."""
-        crossing = self._crossing(cost)
+        """Estimate the size at which the cost exceeds the limit `cost`; None if it never does."""
+        crossing = self._find_measured_crossing(cost)
         if crossing is not None:
             return crossing
-        if not self.grows:
+        if not self.is_growing:
             return None
         sizes = [fit.size_for(cost) for fit in (self.line, self.power) if fit is not None]
-        beyond = [size for size in sizes if size is not None and size > self.sizes[-1]]
-        chosen = self.chosen.size_for(cost)
-        if chosen is None or chosen <= self.sizes[-1]:
-            chosen = beyond[0] if beyond else None
-        if chosen is None:
+        sizes_beyond = [size for size in sizes if size is not None and size > self.sizes[-1]]
+        chosen_size = self.better_fit.size_for(cost)
+        if chosen_size is None or chosen_size <= self.sizes[-1]:
+            chosen_size = sizes_beyond[0] if sizes_beyond else None
+        if chosen_size is None:
             return None
-        return Estimate(min(beyond), chosen, max(beyond), measured=False)
+        return Estimate(min(sizes_beyond), chosen_size, max(sizes_beyond), measured=False)
+
+    def _find_measured_crossing(self, limit: float) -> Estimate | None:
+        """Return the size within the measured range from which on the cost stays above `limit`, if any.
 
-    def _crossing(self, cost: float) -> Estimate | None:
-        """The size among the measured ones from which on the cost stays above a limit.  If all costs are
-        above it, that lies somewhere below the least size."""
-        if self.costs[-1] <= cost:
+        If all measured costs are above the limit, the size lies between 0 and the smallest measured size.
+        """
+        if self.costs[-1] <= limit:
             return None
-        last = max((at for at, each in enumerate(self.costs) if each <= cost), default=None)
-        if last is None:
+        last_below = max((index for index, cost in enumerate(self.costs) if cost <= limit), default=None)
+        if last_below is None:
             return Estimate(0.0, self.sizes[0], self.sizes[0], measured=True)
-        size = float(np.interp(cost, self.costs[last : last + 2], self.sizes[last : last + 2]))
+        size = float(
+            np.interp(limit, self.costs[last_below : last_below + 2], self.sizes[last_below : last_below + 2])
+        )
         return Estimate(size, size, size, measured=True)
 
 
 @dataclass(frozen=True, slots=True)
 class Estimate:
-    """A value with the range between the two fits."""
+    """A value with the range that the two fits span."""
 
     low: float
     value: float
@@ -135,51 +150,56 @@
     measured: bool
 
 
-def _r2(measured: Floats, fitted: Floats) -> float:
-    """The share of the variance that a fit explains; 1 where nothing varies."""
+def _r_squared(measured: Floats, fitted: Floats) -> float:
+    """Return the share of the variance that a fit explains; 1 if the measured values do not vary."""
     total = float(np.sum((measured - np.mean(measured)) ** 2))
     return 1.0 if total == 0 else 1.0 - float(np.sum((measured - fitted) ** 2)) / total
 
 
 def _fit_line(sizes: Floats, costs: Floats) -> Line:
+    """Fit a straight line by least squares."""
     slope, base = np.polyfit(sizes, costs, 1)
-    return Line(float(base), float(slope), _r2(costs, base + slope * sizes))
+    return Line(float(base), float(slope), _r_squared(costs, base + slope * sizes))
 
 
 def _fit_power(sizes: Floats, costs: Floats) -> PowerLaw | None:
+    """Fit a power law by least squares on the logarithms; None if a size or a cost is not above 0."""
     if np.any(sizes <= 0) or np.any(costs <= 0):
         return None
     exponent, offset = np.polyfit(np.log(sizes), np.log(costs), 1)
     fitted = offset + exponent * np.log(sizes)
-    return PowerLaw(float(np.exp(offset)), float(exponent), _r2(np.log(costs), fitted))
+    return PowerLaw(float(np.exp(offset)), float(exponent), _r_squared(np.log(costs), fitted))
 
 
-def _miss(fit: Line | PowerLaw, sizes: Floats, costs: Floats) -> float:
-    """How far a fit is off, as the mean square of its relative error."""
+def _mean_square_relative_error(fit: Line | PowerLaw, sizes: Floats, costs: Floats) -> float:
+    """Return the mean square of a fit's relative error."""
     return float(
         np.mean(
             [
-                ((fit.at(size) - cost) / max(abs(cost), 1e-12)) ** 2
+                ((fit.cost_at(size) - cost) / max(abs(cost), 1e-12)) ** 2
                 for size, cost in zip(sizes, costs, strict=True)
             ]
         )
     )
 
 
-def fit(points: list[tuple[float, float]]) -> Growth | None:
-    """Fits (size, cost) pairs; None if there are fewer than MIN_POINTS different sizes."""
+def fit_growth(points: list[tuple[float, float]]) -> Growth | None:
+    """Fit (size, cost) pairs; None if there are fewer than MIN_FIT_SIZES different sizes.
+
+    Costs that were measured at the same size are averaged first.
+    """
     by_size: dict[float, list[float]] = {}
     for size, cost in points:
         by_size.setdefault(size, []).append(cost)
-    if len(by_size) < MIN_POINTS:
+    if len(by_size) < MIN_FIT_SIZES:
         return None
     sizes = np.array(sorted(by_size), dtype=np.float64)
     costs = np.array([np.mean(by_size[size]) for size in sizes], dtype=np.float64)
     line, power = _fit_line(sizes, costs), _fit_power(sizes, costs)
-    upper = slice(len(sizes) // 2, None)
-    better: Literal["line", "power"] = "line"
-    if power is not None and _miss(power, sizes[upper], costs[upper]) <= _miss(
-        line, sizes[upper], costs[upper]
-    ):
-        better = "power"
-    return Growth(tuple(map(float, sizes)), tuple(map(float, costs)), line, power, better)
+    upper_half = slice(len(sizes) // 2, None)
+    better_kind: Literal["line", "power"] = "line"
+    if power is not None and _mean_square_relative_error(
+        power, sizes[upper_half], costs[upper_half]
+    ) <= _mean_square_relative_error(line, sizes[upper_half], costs[upper_half]):
+        better_kind = "power"
+    return Growth(tuple(map(float, sizes)), tuple(map(float, costs)), line, power, better_kind)
--- a/scale/report/leases.py
+++ b/scale/report/leases.py
@@ -1,4 +1,4 @@
-"""The sizing of the next mechanism: quota leases that are renewed off the request path."""
+"""Size the next planned mechanism: quota leases that are renewed off the request path."""
 
 from __future__ import annotations
 
@@ -10,36 +10,36 @@
 
 @dataclass(frozen=True, slots=True)
 class LeasePlan:
-    """The choices of the design.  Times are seconds."""
+    """The parameters of the lease design.  Times are in seconds."""
 
-    busy_term: float = 2.0  # of a lease of a tenant that uses much of its quota
-    calm_term: float = 20.0  # of any other lease
-    batch_period: float = 0.5  # between two batches from an ingress to a shard
-    shards_per_region: int = 5  # on machines of those set aside for control
-    floor_share: float = 0.5  # of a ceiling that is never leased, but split evenly over the regions
+    busy_term: float = 2.0  # duration of a lease of a tenant that uses much of its quota
+    calm_term: float = 20.0  # duration of any other lease
+    batch_period: float = 0.5  # time between two batches of renewals from an ingress to a shard
+    shards_per_region: int = 5  # they run on the machines set aside for control
+    floor_share: float = 0.5  # share of a ceiling that is never leased but split evenly among the regions
 
 
-PLAN = LeasePlan()
+LEASE_PLAN = LeasePlan()
 
 
 @dataclass(frozen=True, slots=True)
 class LeaseLoad:
-    """What the plan costs at full size, if all tenants are in use at once.  Rates are for a second."""
+    """The load of a lease design at full size, with all tenants in use at once.  Rates are per second."""
 
     shards: float
-    slices: float  # leases out, one for each tenant and ingress that serves it
-    renewals: float  # rows at all shards
-    calls: float  # batches at all shards
+    slices: float  # leases in use: one for each pair of a tenant and an ingress that serves it
+    renewals: float  # rows of renewals at all shards together
+    calls: float  # batches at all shards together
     calls_per_shard: float
     rows_per_shard: float
     rows_per_call: float
     calls_per_ingress: float
 
 
-def lease_load(plan: LeasePlan = PLAN) -> LeaseLoad:
-    """The load of the plan at the target sizes."""
-    spread = (SITE.spread_low + SITE.spread_high) / 2
-    slices = model.tenant_slices(TARGETS.tenants, spread)
+def compute_lease_load(plan: LeasePlan = LEASE_PLAN) -> LeaseLoad:
+    """Compute the load of a lease design at the target sizes."""
+    ingresses_per_tenant = (SITE.spread_low + SITE.spread_high) / 2
+    slices = model.tenant_slices(TARGETS.tenants, ingresses_per_tenant)
     renewals = model.lease_renewals_per_s(slices, SITE.busy_tenants_share, plan.busy_term, plan.calm_term)
     shards = plan.shards_per_region * TARGETS.regions
     calls = model.batches_per_s(TARGETS.ingresses, plan.shards_per_region, plan.batch_period)
--- a/scale/report/limit.py
+++ b/scale/report/limit.py
@@ -1,42 +1,56 @@
-"""One limit of the design: the size at which it is reached."""
+"""One limit of the design, with the size at which it is reached."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from scale.report.figures import Figure, Mark, number
+from scale.report.figures import Figure, Mark, format_number
 from scale.report.rows import result_link
 from scale.report.targets import TARGETS
 
 
 @dataclass(frozen=True, slots=True)
 class Limit:
-    """One limit: the size at which it is reached, in which dimension, and why."""
+    """One limit of the design: the size at which it is reached, the dimension of that size, and the cause."""
 
-    what: str
-    size: Figure | None  # None: the fits never reach it
+    label: str
+    size: Figure | None  # None if the fits never reach the limit
     dimension: str  # what `size` counts
-    target: float  # of that dimension
+    target: float  # the full size in that dimension
     cause: str
 
     @property
-    def share(self) -> float:
-        """The share of the way to full size at which it is reached; infinite if it never is."""
+    def share_of_target(self) -> float:
+        """Return the size at which the limit is reached, as a share of the target.
+
+        It is infinite if the limit is never reached or was not measured.
+        """
         if self.size is None or self.size.mark is Mark.MISSING:
             return float("inf")
         return self.size.value / self.target
 
     @property
-    def holds(self) -> bool:
-        """Whether it carries the full size."""
-        return self.size is None or (self.size.mark is not Mark.MISSING and self.share > 1.0)
+    def is_past_target(self) -> bool:
+        """Tell whether the limit is reached only past the full size, or never."""
+        return self.size is None or (self.size.mark is not Mark.MISSING and self.share_of_target > 1.0)
 
-    def cells(self) -> list[str]:
-        """The columns of the page's table."""
+    def format_cells(self) -> list[str]:
+        """Return the columns of the page's table as text."""
         if self.size is None:
-            return [self.what, "does not grow with the size", "-", "*extrapolated*", self.cause, "-"]
+            return [self.label, "does not grow with the size", "-", "*extrapolated*", self.cause, "-"]
         files = ", ".join(map(result_link, self.size.files)) or "-"
         if self.size.mark is Mark.MISSING:
-            return [self.what, "not measured", "-", str(self.size.mark), self.cause, files]
-        way = "past the full size" if self.holds else number(max(1.0, self.share * TARGETS.ingresses))
-        return [self.what, self.size.text(self.dimension), way, str(self.size.mark), self.cause, files]
+            return [self.label, "not measured", "-", str(self.size.mark), self.cause, files]
+        reached_at = (
+            "past the full size"
+            if self.is_past_target
+            else format_number(max(1.0, self.share_of_target * TARGETS.ingresses))
+        )
+        return [
+            self.label,
+            self.size.text(self.dimension),
+            reached_at,
+            str(self.size.mark),
+            self.cause,
+            files,
+        ]
--- a/scale/report/limits.py
+++ b/scale/report/limits.py
@@ -1,4 +1,4 @@
-"""The limits on the way to full size, in the order in which they are reached."""
+"""The limits of the design on the way to full size, in the order in which they are reached."""
 
 from __future__ import annotations
 
@@ -8,25 +8,32 @@
 from scale.report import model
 from scale.report.constants import Constants
 from scale.report.evidence import Evidence
-from scale.report.figures import MISSING, Mark, computed, number
+from scale.report.figures import MISSING, Mark, computed_figure, format_number
 from scale.report.limit import Limit
-from scale.report.loads import CONFIG_CHANGES_PER_S, DAY_CHANGES_PER_S, REQUESTS_PER_S, STORM_CHANGES_PER_S
-from scale.report.targets import DIMENSIONS, SITE, TARGETS
+from scale.report.loads import (
+    CONFIG_CHANGES_PER_S,
+    DAY_CHANGES_PER_S,
+    REQUESTS_PER_S,
+    WORST_MINUTE_CHANGES_PER_S,
+)
+from scale.report.targets import DIMENSION_TARGETS, SITE, TARGETS
 
-ZONE_LOSS_S = 60.0  # in which a zone leaves
-LATE_SHARE = 0.01  # of the requests that may wait for the counter: 99 in 100 don't
-DAY_CPU_US = model.allowed_cpu_us(TARGETS.control_core_share, DAY_CHANGES_PER_S)  # of a list change
-STORM_CPU_US = model.allowed_cpu_us(TARGETS.control_core_share, STORM_CHANGES_PER_S)  # of a list change
-REQUEST_CPU_US = model.allowed_cpu_us(1.0, REQUESTS_PER_S)  # of a request, if requests fill a core
+ZONE_LOSS_S = 60.0  # time within which all backends of a lost zone leave the list
+MAX_COUNTER_WAIT_SHARE = 0.01  # share of the requests that may wait: the latency target is for 99 in 100
+# Processor time that a list change may take on an ordinary day and in the worst minute.
+MAX_DAY_CHANGE_CPU_US = model.allowed_cpu_us(TARGETS.control_core_share, DAY_CHANGES_PER_S)
+MAX_WORST_MINUTE_CHANGE_CPU_US = model.allowed_cpu_us(TARGETS.control_core_share, WORST_MINUTE_CHANGES_PER_S)
+# Processor time of a request at which the requests of an ingress use one whole core.
+MAX_REQUEST_CPU_US = model.allowed_cpu_us(1.0, REQUESTS_PER_S)
 
 
 @dataclass(frozen=True, slots=True)
 class CpuAllowance:
-    """What one kind of work may take of the processor."""
+    """The processor time that one kind of work may take."""
 
-    what: str
+    label: str
     measure: str
-    most_us: float  # µs for each
+    max_cpu_us: float  # for each list change or request
     cause: str
 
 
@@ -34,20 +41,23 @@
     CpuAllowance(
         "list changes while a zone leaves",
         "change_cpu_us",
-        STORM_CPU_US,
-        f"{number(STORM_CPU_US, 3)} µs a change at {number(STORM_CHANGES_PER_S, 3)} a second",
+        MAX_WORST_MINUTE_CHANGE_CPU_US,
+        f"{format_number(MAX_WORST_MINUTE_CHANGE_CPU_US, 3)} µs a change at "
+        f"{format_number(WORST_MINUTE_CHANGES_PER_S, 3)} a second",
     ),
     CpuAllowance(
         "list changes of an ordinary day",
         "change_cpu_us",
-        DAY_CPU_US,
-        f"{number(DAY_CPU_US, 3)} µs a change at {number(DAY_CHANGES_PER_S, 3)} a second",
+        MAX_DAY_CHANGE_CPU_US,
+        f"{format_number(MAX_DAY_CHANGE_CPU_US, 3)} µs a change at "
+        f"{format_number(DAY_CHANGES_PER_S, 3)} a second",
     ),
     CpuAllowance(
         "a request's processor time",
         "request_cpu_p50_us",
-        REQUEST_CPU_US,
-        f"{number(REQUEST_CPU_US, 3)} µs a request fill a core at {number(REQUESTS_PER_S, 3)} a second",
+        MAX_REQUEST_CPU_US,
+        f"{format_number(MAX_REQUEST_CPU_US, 3)} µs a request fill a core at "
+        f"{format_number(REQUESTS_PER_S, 3)} a second",
     ),
     CpuAllowance(
         "a request's processor time, 99 in 100",
@@ -59,36 +69,40 @@
 
 
 def limits_in_order(evidence: Evidence, constants: Constants) -> list[Limit]:
-    """All limits: first those that are reached, the earliest first, then those not known, then the rest."""
+    """Return all limits in the order of the page's table.
+
+    Limits that are reached by the full size come first, the earliest of them first, then those that were not
+    measured, then those past the full size.
+    """
     limits = [
-        *_missing_mechanisms(),
-        _counter_calls(evidence),
-        _counter_waits(evidence),
-        _complete_list(evidence, constants),
-        _zone_bytes(evidence),
-        *_processor_time(evidence, "backends"),
-        *_processor_time(evidence, "ingresses"),
-        _memory(evidence, "backends"),
-        _memory(evidence, "tenants"),
-        _checksum_collisions(),
+        *_missing_mechanism_limits(),
+        _counter_call_limit(evidence),
+        _counter_wait_limit(evidence),
+        _complete_list_limit(evidence, constants),
+        _zone_loss_traffic_limit(evidence),
+        *_processor_time_limits(evidence, "backends"),
+        *_processor_time_limits(evidence, "ingresses"),
+        _memory_limit(evidence, "backends"),
+        _memory_limit(evidence, "tenants"),
+        _checksum_collision_limit(),
     ]
-    return sorted(limits, key=lambda limit: (limit.holds, limit.share))
+    return sorted(limits, key=lambda limit: (limit.is_past_target, limit.share_of_target))
 
 
 def _measured_limit(
-    evidence: Evidence, what: str, dimension: str, measure: str, most: float, cause: str
+    evidence: Evidence, label: str, dimension: str, measure: str, max_value: float, cause: str
 ) -> Limit:
-    """The size at which a measure passes the most that is allowed."""
-    size = evidence.size_at_limit(dimension, measure, most)
-    return Limit(what, size, dimension, DIMENSIONS[dimension], cause)
+    """Return the limit that is reached when a measure exceeds `max_value`."""
+    size = evidence.estimate_size_at_limit(dimension, measure, max_value)
+    return Limit(label, size, dimension, DIMENSION_TARGETS[dimension], cause)
 
 
-def _missing_mechanisms() -> list[Limit]:
-    """What has no mechanism at all: its limit is reached with the first or second of its kind."""
+def _missing_mechanism_limits() -> list[Limit]:
+    """Return the limits of features without any mechanism: the first or second of a kind reaches them."""
     return [
         Limit(
             "configuration changes in force in a running ingress",
-            computed(1),
+            computed_figure(1),
             "change a day",
             TARGETS.config_changes_per_day,
             "`reload` in `ingress/process/ingress.py` takes only the addresses of discovery and "
@@ -96,7 +110,7 @@
         ),
         Limit(
             "services and routes",
-            computed(2),
+            computed_figure(2),
             "services",
             TARGETS.services,
             "`Request` in `ingress/interface/events.py` and `Backend` in `ingress/interface/endpoints.py` "
@@ -104,7 +118,7 @@
         ),
         Limit(
             "regions",
-            computed(2),
+            computed_figure(2),
             "regions",
             TARGETS.regions,
             "`Backend` in `ingress/interface/endpoints.py` has a zone and no region; the subset is drawn "
@@ -113,15 +127,16 @@
     ]
 
 
-def _counter_calls(evidence: Evidence) -> Limit:
-    per_request = evidence.at_target("ingresses", "counter_calls_per_request")
-    capacity = (SITE.counter_calls_low + SITE.counter_calls_high) / 2
-    carried = per_request.map(
-        lambda each: model.requests_carried(capacity, each) if each > 0 else float("inf")
+def _counter_call_limit(evidence: Evidence) -> Limit:
+    """Return the limit on requests per second that the counter's call capacity sets."""
+    calls_per_request = evidence.at_target("ingresses", "counter_calls_per_request")
+    counter_calls_per_s = (SITE.counter_calls_low + SITE.counter_calls_high) / 2
+    max_requests_per_s = calls_per_request.map(
+        lambda calls: model.max_requests_per_s(counter_calls_per_s, calls) if calls > 0 else float("inf")
     )
     return Limit(
         "calls at the counter",
-        carried if carried.value else MISSING,
+        max_requests_per_s if max_requests_per_s.value else MISSING,
         "requests/s, entire fleet",
         TARGETS.requests_per_s,
         f"one counter for all, {SITE.counter_calls_low:g} to {SITE.counter_calls_high:g} calls a "
@@ -129,54 +144,64 @@
     )
 
 
-def _counter_waits(evidence: Evidence) -> Limit:
+def _counter_wait_limit(evidence: Evidence) -> Limit:
+    """Return the limit on the share of requests that wait for the counter."""
     return _measured_limit(
         evidence,
         "1 request in 100 waits for the counter",
         "ingresses",
         "counter_wait_share",
-        LATE_SHARE,
+        MAX_COUNTER_WAIT_SHARE,
         "a request waits for its own call's answer, up to the counter's time-out",
     )
 
 
-def _complete_list(evidence: Evidence, constants: Constants) -> Limit:
-    """The bound on an answer of discovery; without a bound in the code no list is too long."""
-    what = "a complete list in one answer"
-    most = constants.figure("DEFAULT_MAX_BODY_BYTES")
-    cause = constants.text("DEFAULT_MAX_BODY_BYTES") + ", or more where the memory limit allows"
-    if most.mark is Mark.MISSING:
-        return Limit(what, None, "backends", TARGETS.backends, cause)
-    return _measured_limit(evidence, what, "backends", "list_bytes", most.value, cause)
+def _complete_list_limit(evidence: Evidence, constants: Constants) -> Limit:
+    """Return the limit on the size of a complete list; it is never reached if the code has no such bound."""
+    label = "a complete list in one answer"
+    max_bytes = constants.get_figure("DEFAULT_MAX_BODY_BYTES")
+    cause = constants.describe("DEFAULT_MAX_BODY_BYTES") + ", or more where the memory limit allows"
+    if max_bytes.mark is Mark.MISSING:
+        return Limit(label, None, "backends", TARGETS.backends, cause)
+    return _measured_limit(evidence, label, "backends", "list_bytes", max_bytes.value, cause)
+
 
+def _zone_loss_traffic_limit(evidence: Evidence) -> Limit:
+    """Return the limit on the backends of a zone that is lost within ZONE_LOSS_S.
 
-def _zone_bytes(evidence: Evidence) -> Limit:
-    """The zone whose loss fills the control traffic of an ingress that gets the change of every backend."""
+    Each ingress receives the change of every backend, and its control traffic is limited.
+    """
     change_bytes = evidence.at_target("backends", "change_bytes")
-    zone = change_bytes.map(
-        lambda each: max(0.0, TARGETS.control_bytes_per_s / max(each, 1.0) - CONFIG_CHANGES_PER_S)
+    backend_count = change_bytes.map(
+        lambda byte_count: max(0.0, TARGETS.control_bytes_per_s / max(byte_count, 1.0) - CONFIG_CHANGES_PER_S)
         * ZONE_LOSS_S
     )
     return Limit(
         "control traffic while a zone leaves",
-        zone,
+        backend_count,
         "backends of a zone",
         TARGETS.zone_backends,
         f"{TARGETS.control_bytes_per_s:,.0f} B/s for an ingress; each gets the changes of every backend",
     )
 
 
-def _processor_time(evidence: Evidence, dimension: str) -> list[Limit]:
-    """List changes and requests, against what is allowed them of a core."""
+def _processor_time_limits(evidence: Evidence, dimension: str) -> list[Limit]:
+    """Return the limits on the processor time of list changes and requests over one dimension."""
     return [
         _measured_limit(
-            evidence, f"{each.what}, over {dimension}", dimension, each.measure, each.most_us, each.cause
+            evidence,
+            f"{allowance.label}, over {dimension}",
+            dimension,
+            allowance.measure,
+            allowance.max_cpu_us,
+            allowance.cause,
         )
-        for each in CPU_ALLOWANCES
+        for allowance in CPU_ALLOWANCES
     ]
 
 
-def _memory(evidence: Evidence, dimension: str) -> Limit:
+def _memory_limit(evidence: Evidence, dimension: str) -> Limit:
+    """Return the limit on resident memory over one dimension."""
     return _measured_limit(
         evidence,
         f"resident memory of the module's state, over {dimension}",
@@ -187,12 +212,12 @@
     )
 
 
-def _checksum_collisions() -> Limit:
-    """Tenants at which the first two are expected to share a count."""
+def _checksum_collision_limit() -> Limit:
+    """Return the number of tenants at which one pair of them is expected to share a count, as a limit."""
     tenants = sqrt(2.0 * 2.0**model.HASH_BITS)
     return Limit(
         "each tenant has a count of its own",
-        computed(tenants),
+        computed_figure(tenants),
         "tenants",
         TARGETS.tenants,
         "counts are named by a 32-bit checksum, `Customer.hash` of the decision module",
--- a/scale/report/measures.py
+++ b/scale/report/measures.py
@@ -1,4 +1,4 @@
-"""What each measure is called on the page, its unit, and the sweeps in which it is shown there."""
+"""The label and unit of each measure on the page, and the sweeps whose tables show it."""
 
 from __future__ import annotations
 
@@ -7,31 +7,34 @@
 
 @dataclass(frozen=True, slots=True)
 class Measure:
-    """A measure as the page shows it."""
+    """How the page shows a measure: its label, its unit and the sweeps whose tables show it."""
 
     text: str
     unit: str
     sweeps: tuple[str, ...] = ()
 
 
-ALL = ("backends", "ingresses", "tenants", "services", "changes_per_s")
-LISTS = ("backends", "ingresses", "services")
-LOAD = ("ingresses", "tenants")
+# The sweeps whose tables show a measure, each named after the dimension that it varies.
+ALL_SWEEPS = ("backends", "ingresses", "tenants", "services", "changes_per_s")
+LIST_SWEEPS = ("backends", "ingresses", "services")
+LOAD_SWEEPS = ("ingresses", "tenants")
 
 MEASURES = {
-    "request_cpu_p50_us": Measure("processor time of a request, median", "µs", ALL),
-    "request_cpu_p99_us": Measure("processor time of a request, 99 in 100", "µs", ALL),
-    "request_calls_p50": Measure("function calls of a request, median", "", ALL),
-    "request_calls_p99": Measure("function calls of a request, 99 in 100", "", ALL),
-    "change_cpu_us": Measure("processor time of a list change, median", "µs", (*LISTS, "changes_per_s")),
-    "change_cpu_p99_us": Measure("processor time of a list change, 99 in 100", "µs", LISTS),
-    "change_calls": Measure("function calls of a list change", "", (*LISTS, "changes_per_s")),
+    "request_cpu_p50_us": Measure("processor time of a request, median", "µs", ALL_SWEEPS),
+    "request_cpu_p99_us": Measure("processor time of a request, 99 in 100", "µs", ALL_SWEEPS),
+    "request_calls_p50": Measure("function calls of a request, median", "", ALL_SWEEPS),
+    "request_calls_p99": Measure("function calls of a request, 99 in 100", "", ALL_SWEEPS),
+    "change_cpu_us": Measure(
+        "processor time of a list change, median", "µs", (*LIST_SWEEPS, "changes_per_s")
+    ),
+    "change_cpu_p99_us": Measure("processor time of a list change, 99 in 100", "µs", LIST_SWEEPS),
+    "change_calls": Measure("function calls of a list change", "", (*LIST_SWEEPS, "changes_per_s")),
     "change_read_cpu_us": Measure("processor time to read a list change", "µs", ("backends",)),
     "change_bytes": Measure("bytes of a list change", "B", ("backends",)),
     "list_bytes": Measure("bytes of a complete list", "B", ("backends", "services")),
-    "list_read_cpu_ms": Measure("processor time to read a complete list", "ms", LISTS),
-    "list_apply_cpu_ms": Measure("processor time to apply a complete list", "ms", LISTS),
-    "list_reapply_cpu_ms": Measure("processor time to apply a complete list again", "ms", LISTS),
+    "list_read_cpu_ms": Measure("processor time to read a complete list", "ms", LIST_SWEEPS),
+    "list_apply_cpu_ms": Measure("processor time to apply a complete list", "ms", LIST_SWEEPS),
+    "list_reapply_cpu_ms": Measure("processor time to apply a complete list again", "ms", LIST_SWEEPS),
     "list_read_peak_mb": Measure("memory at most while a complete list is read", "MB", ("backends",)),
     "start_cpu_ms": Measure("processor time to create the module", "ms", ("backends", "ingresses")),
     "memory_per_backend_bytes": Measure("memory for a backend", "B", ("backends",)),
@@ -40,12 +43,12 @@
     "resident_mb": Measure(
         "resident memory of the module's state", "MB", ("backends", "ingresses", "tenants")
     ),
-    "counter_calls_per_request": Measure("counter calls for a request", "", LOAD),
+    "counter_calls_per_request": Measure("counter calls for a request", "", LOAD_SWEEPS),
     "counter_calls_per_s_fleet": Measure("counter calls of the entire fleet", "/s", ("ingresses",)),
-    "counter_wait_share": Measure("requests that wait for the counter, share", "", LOAD),
-    "counter_wait_p50_ms": Measure("wait for the counter, median", "ms", LOAD),
-    "counter_wait_p99_ms": Measure("wait for the counter, 99 in 100", "ms", LOAD),
-    "counter_unanswered_share": Measure("counter calls without an answer in time, share", "", LOAD),
+    "counter_wait_share": Measure("requests that wait for the counter, share", "", LOAD_SWEEPS),
+    "counter_wait_p50_ms": Measure("wait for the counter, median", "ms", LOAD_SWEEPS),
+    "counter_wait_p99_ms": Measure("wait for the counter, 99 in 100", "ms", LOAD_SWEEPS),
+    "counter_unanswered_share": Measure("counter calls without an answer in time, share", "", LOAD_SWEEPS),
     "discovery_calls_per_s": Measure("calls at discovery", "/s", ("ingresses", "changes_per_s")),
     "control_bytes_per_s": Measure("control traffic of an ingress", "B/s", ("backends", "changes_per_s")),
     "control_cpu_share": Measure("share of a core for control", "", ("backends", "changes_per_s")),
@@ -69,11 +72,11 @@
 
 
 def describe(name: str) -> Measure:
-    """The measure of that name; one that the page does not know is shown by its name."""
+    """Return how a measure is shown; a measure without an entry is shown by its name, without a unit."""
     return MEASURES.get(name, Measure(name.replace("_", " "), ""))
 
 
-# What a scenario's run is shown by.
+# The measures that the table of scenarios shows, in its order.
 SCENARIO_MEASURES = (
     "change_acted_p50_s",
     "change_acted_p99_s",
--- a/scale/report/plots.py
+++ b/scale/report/plots.py
@@ -1,4 +1,4 @@
-"""Plots of each sweep: its measures over its size, before and after in one picture."""
+"""Plot the measures of each sweep over its size, with the older and the newer commit in one figure."""
 
 from __future__ import annotations
 
@@ -13,14 +13,14 @@
 
 from scale.report.fits import Growth
 from scale.report.measures import MEASURES
-from scale.report.targets import DIMENSIONS
+from scale.report.targets import DIMENSION_TARGETS
 from scale.report.versions import SelectedRuns, Sweep
 
-COLUMNS = 2
-PANEL = (3.6, 2.5)  # inches
-MIN_LOG_SCALE_RATIO = 10.0  # times: costs that differ less stand on a linear scale from 0
+COLUMNS = 2  # of plots in one figure
+PANEL_INCHES = (3.6, 2.5)  # width and height of one measure's plot
+MIN_LOG_SCALE_RATIO = 10.0  # ratio of the highest to the lowest cost up to which the cost axis is linear
 COLORS = {"before": "#b3541e", "after": "#1f5f8b"}
-CURVE_POINTS = 40
+CURVE_POINTS = 40  # points at which a fitted curve is drawn
 STYLE: dict[Any, Any] = {
     "svg.hashsalt": "scale",
     "svg.fonttype": "none",
@@ -29,23 +29,24 @@
 }
 
 
-def _draw(axes: Axes, growth: Growth, color: str, label: str, target: float) -> None:
-    """The measured points, and the better fit up to the target."""
+def _draw_growth(axes: Axes, growth: Growth, color: str, label: str, target: float) -> None:
+    """Draw the measured points, and the better fit up to the target."""
     axes.plot(growth.sizes, growth.costs, "o", markersize=3, color=color, label=label)
     sizes = np.geomspace(max(growth.sizes[0], 1e-9), max(target, growth.sizes[-1]), CURVE_POINTS)
-    axes.plot(sizes, [growth.fitted(float(size)) for size in sizes], "-", linewidth=0.8, color=color)
+    axes.plot(sizes, [growth.fitted_cost(float(size)) for size in sizes], "-", linewidth=0.8, color=color)
 
 
-def _panel(axes: Axes, sweep: Sweep, measure: str) -> None:
-    target = DIMENSIONS.get(sweep.dimension, 0.0)
+def _draw_panel(axes: Axes, sweep: Sweep, measure: str) -> None:
+    """Draw one measure of a sweep."""
+    target = DIMENSION_TARGETS.get(sweep.dimension, 0.0)
     costs: list[float] = []
-    for version, run in sweep.runs().items():
+    for version, run in sweep.runs_by_version().items():
         growth = run.growth(measure)
         if growth is not None:
-            _draw(axes, growth, COLORS[version], f"{version}, {run.version}", target)
-            costs += [*growth.costs, growth.fitted(max(target, growth.sizes[-1]))]
-    shown = MEASURES[measure]
-    axes.set_title(shown.text + (f", {shown.unit}" if shown.unit else ""), fontsize=7)
+            _draw_growth(axes, growth, COLORS[version], f"{version}, {run.version}", target)
+            costs += [*growth.costs, growth.fitted_cost(max(target, growth.sizes[-1]))]
+    description = MEASURES[measure]
+    axes.set_title(description.text + (f", {description.unit}" if description.unit else ""), fontsize=7)
     axes.set_xscale("log")
     if costs and min(costs) > 0 and max(costs) > MIN_LOG_SCALE_RATIO * min(costs):
         axes.set_yscale("log")
@@ -57,22 +58,22 @@
 
 
 def plot_sweep(sweep: Sweep, folder: Path) -> Path | None:
-    """Writes the picture of a sweep; None if no measure has enough points."""
+    """Write the figure of a sweep and return its path; None if no measure has enough points."""
     measures = [
         name
-        for name, shown in MEASURES.items()
-        if sweep.dimension in shown.sweeps and sweep.after.growth(name) is not None
+        for name, description in MEASURES.items()
+        if sweep.dimension in description.sweeps and sweep.after.growth(name) is not None
     ]
     if not measures:
         return None
     rows = ceil(len(measures) / COLUMNS)
     with matplotlib.rc_context(STYLE):
-        size = (PANEL[0] * COLUMNS, PANEL[1] * rows)
+        size = (PANEL_INCHES[0] * COLUMNS, PANEL_INCHES[1] * rows)
         figure = Figure(figsize=size, layout="constrained")
         grid = figure.subplots(rows, COLUMNS, squeeze=False)
         panels = list(grid.flat)
         for axes, measure in zip(panels, measures, strict=False):
-            _panel(axes, sweep, measure)
+            _draw_panel(axes, sweep, measure)
         for axes in panels[len(measures) :]:
             axes.set_visible(False)
         panels[0].legend(fontsize=6)
@@ -84,6 +85,6 @@
 
 
 def plot_all(selected: SelectedRuns, folder: Path) -> list[Path]:
-    """Writes the pictures of all sweeps."""
+    """Write the figures of all sweeps and return their paths."""
     paths = [plot_sweep(sweep, folder) for sweep in selected.sweeps.values()]
     return [path for path in paths if path is not None]
--- a/scale/report/roles/__init__.py
+++ b/scale/report/roles/__init__.py
@@ -1,1 +1,1 @@
-"""The tables of the capacity page that show what each role costs at full size, one module for each role."""
+"""The capacity page's tables of what each role costs at full size, one module per role."""
--- a/scale/report/roles/tables.py
+++ b/scale/report/roles/tables.py
@@ -1,4 +1,4 @@
-"""The tables of all roles, by the names that the template calls them by."""
+"""The row functions of all roles, by the roles' names in the template."""
 
 from __future__ import annotations
 
--- a/scale/report/rows.py
+++ b/scale/report/rows.py
@@ -1,15 +1,15 @@
-"""The rows of a role's table: figures of an ordinary day and of the worst minute, with their sources."""
+"""Rows of a role's table: figures of an ordinary day and of the worst minute, with their result files."""
 
 from __future__ import annotations
 
 from dataclasses import dataclass
 
-from scale.report.figures import MISSING, Figure, weakest
+from scale.report.figures import MISSING, Figure, least_reliable_mark
 
 
 @dataclass(frozen=True, slots=True)
 class Cell:
-    """A figure with its unit; without a figure, only a note."""
+    """A table cell: a figure with its unit, a note, or both."""
 
     figure: Figure | None = None
     unit: str = ""
@@ -17,50 +17,50 @@
     note: str = ""
 
     def __str__(self) -> str:
-        shown = "" if self.figure is None else self.figure.text(self.unit, self.scale)
-        return ", ".join(part for part in (shown, self.note) if part) or "-"
+        figure_text = "" if self.figure is None else self.figure.text(self.unit, self.scale)
+        return ", ".join(part for part in (figure_text, self.note) if part) or "-"
 
 
 @dataclass(frozen=True, slots=True)
 class Row:
-    """One line of a role's table."""
+    """One row of a role's table."""
 
-    what: str
+    label: str
     day: Cell
     worst: Cell
-    asked: str = "-"
+    requirement: str = "-"
 
     def figures(self) -> list[Figure]:
-        """The figures of both columns."""
+        """Return the figures of both columns."""
         return [cell.figure for cell in (self.day, self.worst) if cell.figure is not None]
 
     def files(self) -> list[str]:
-        """The result files that the row comes from."""
+        """Return the names of the result files that the row comes from."""
         return sorted({file for figure in self.figures() for file in figure.files})
 
-    def cells(self) -> list[str]:
-        """The columns as text."""
-        mark = weakest(self.figures())
+    def format_cells(self) -> list[str]:
+        """Return the columns as text."""
+        mark = least_reliable_mark(self.figures())
         return [
-            self.what,
+            self.label,
             str(self.day),
             str(self.worst),
-            self.asked,
+            self.requirement,
             str(mark),
             ", ".join(map(result_link, self.files())) or "-",
         ]
 
 
 def result_link(file: str) -> str:
-    """A result file's name without its time, as a link from the page."""
+    """Return a link from the page to a result file, with the file's name up to its time as label."""
     label = file.removesuffix(".json").rpartition("-")[0] or file
     return f"[{label}](../scale/results/{file})"
 
 
-def both(figure: Figure, unit: str = "", scale: float = 1.0, note: str = "") -> tuple[Cell, Cell]:
-    """The same figure on an ordinary day and in the worst minute."""
+def same_cells(figure: Figure, unit: str = "", scale: float = 1.0, note: str = "") -> tuple[Cell, Cell]:
+    """Return two equal cells, for figures that are the same on an ordinary day and in the worst minute."""
     cell = Cell(figure, unit, scale, note)
     return cell, cell
 
 
-NOT_MEASURED = both(MISSING)
+NOT_MEASURED = same_cells(MISSING)
--- a/scale/report/tables.py
+++ b/scale/report/tables.py
@@ -1,120 +1,129 @@
-"""Tables in Markdown."""
+"""Tables of the page in Markdown."""
 
 from __future__ import annotations
 
 from collections.abc import Iterable, Sequence
 
 from scale.report.evidence import Evidence
-from scale.report.figures import number
+from scale.report.figures import format_number
 from scale.report.fits import Growth, Line, PowerLaw
 from scale.report.limit import Limit
-from scale.report.measures import ALL as MEASURED_DIMENSIONS
-from scale.report.measures import MEASURES, SCENARIO_MEASURES
+from scale.report.measures import ALL_SWEEPS, MEASURES, SCENARIO_MEASURES
 from scale.report.rows import Row, result_link
-from scale.report.targets import DIMENSIONS, Entry, dimension_of
+from scale.report.targets import DIMENSION_TARGETS, Entry, dimension_of
 from scale.report.versions import SavedResult
 
 
-def markdown(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
-    """A Markdown table."""
+def markdown_table(head: Sequence[str], rows: Iterable[Sequence[str]]) -> str:
+    """Return a Markdown table."""
     lines = [head, ["---"] * len(head), *rows]
     return "\n".join("| " + " | ".join(line) + " |" for line in lines)
 
 
 def role_table(rows: Iterable[Row]) -> str:
-    """The table of one role."""
-    return markdown(
-        ["what", "ordinary day", "worst minute", "asked for", "mark", "from"], [row.cells() for row in rows]
+    """Return the table of one role."""
+    return markdown_table(
+        ["what", "ordinary day", "worst minute", "asked for", "mark", "from"],
+        [row.format_cells() for row in rows],
     )
 
 
 def limit_table(limits: Iterable[Limit]) -> str:
-    """The table of the limits."""
-    return markdown(
+    """Return the table of the limits."""
+    return markdown_table(
         ["", "what", "reached at", "on the way, ingresses", "mark", "limit", "from"],
-        [[str(place), *limit.cells()] for place, limit in enumerate(limits, start=1)],
+        [[str(position), *limit.format_cells()] for position, limit in enumerate(limits, start=1)],
     )
 
 
 def figure_table(entries: Iterable[Entry]) -> str:
-    """The table of figures that are asked for or given."""
-    return markdown(
+    """Return the table of the targets or of the site's documented figures."""
+    return markdown_table(
         ["what", "figure"],
-        [[each.meaning, f"{number(each.value, 3)} {each.unit}".strip()] for each in entries],
+        [[entry.meaning, f"{format_number(entry.value, 3)} {entry.unit}".strip()] for entry in entries],
     )
 
 
 def scenario_table(evidence: Evidence) -> str:
-    """What each scenario's newest run measured, at its own sizes."""
+    """Return the table of each scenario's newest run, with a column for each scenario."""
     runs = list(evidence.selected.scenarios.values())
     if not runs:
         return "No scenario was run yet: *missing*."
-    head = ["what", *(f"{result_link(run.file)}, {_sizes(run)}" for run in runs)]
-    rows = [[MEASURES[name].text, *(_last(run, name) for run in runs)] for name in SCENARIO_MEASURES]
-    return markdown(head, rows)
+    head = ["what", *(f"{result_link(run.file_name)}, {_describe_sizes(run)}" for run in runs)]
+    rows = [[MEASURES[name].text, *(_last_value(run, name) for run in runs)] for name in SCENARIO_MEASURES]
+    return markdown_table(head, rows)
 
 
-def _sizes(run: SavedResult) -> str:
+def _describe_sizes(run: SavedResult) -> str:
+    """Return the sizes of a scenario's fleet as text."""
     sizes = run.result.points[-1].sizes if run.result.points else {}
-    shown = [name for name in ("ingresses", "backends", "tenants") if name in sizes]
-    return ", ".join(f"{sizes[name]:,.0f} {name}" for name in shown)
+    shown_names = [name for name in ("ingresses", "backends", "tenants") if name in sizes]
+    return ", ".join(f"{sizes[name]:,.0f} {name}" for name in shown_names)
 
 
-def _last(run: SavedResult, measure: str) -> str:
+def _last_value(run: SavedResult, measure: str) -> str:
+    """Return the measure at the last point of a run that recorded it, as text."""
     values = [point.measures[measure] for point in run.result.points if measure in point.measures]
     if not values:
         return "not measured"
-    return f"{number(values[-1])} {MEASURES[measure].unit}".strip()
+    return f"{format_number(values[-1])} {MEASURES[measure].unit}".strip()
 
 
 def describe_growth(growth: Growth | None) -> str:
-    """How a measure grows, in a few characters: the exponent, or the slope of the line."""
+    """Return the better fit as short text: the exponent of a power law or the formula of a line, with r²."""
     if growth is None:
         return "not measured"
-    chosen: Line | PowerLaw = growth.chosen
-    if isinstance(chosen, PowerLaw):
-        return f"n^{chosen.exponent + 0.0:.2f}, r² {chosen.r2:.2f}"
-    if not growth.changes:
+    better_fit: Line | PowerLaw = growth.better_fit
+    if isinstance(better_fit, PowerLaw):
+        return f"n^{better_fit.exponent + 0.0:.2f}, r² {better_fit.r2:.2f}"
+    if not growth.is_varying:
         return "level"
-    sign = "-" if chosen.slope < 0 else "+"
-    return f"{number(chosen.base)} {sign} {number(abs(chosen.slope))} n, r² {chosen.r2:.2f}"
+    sign = "-" if better_fit.slope < 0 else "+"
+    return (
+        f"{format_number(better_fit.base)} {sign} "
+        f"{format_number(abs(better_fit.slope))} n, r² {better_fit.r2:.2f}"
+    )
 
 
 def slope_table(evidence: Evidence, sweep: str) -> str:
-    """The growth of each measure over one sweep, before and after."""
-    target = number(evidence.target(sweep), 3)
+    """Return the table of each measure's growth over one sweep, before and after."""
+    target = format_number(evidence.target(sweep), 3)
     head = ["what", "grows, before", "grows, after", f"before, at {target}", f"after, at {target}", "mark"]
     rows = [
         _slope_row(evidence, sweep, name)
         for name, measure in MEASURES.items()
-        if dimension_of(sweep) in measure.sweeps and evidence.growth(sweep, name) is not None
+        if dimension_of(sweep) in measure.sweeps and evidence.fit_growth(sweep, name) is not None
     ]
     if not rows:
         return "Not measured: *missing*."
     files = "; ".join(
-        f"{version}: {result_link(run.file)}"
-        for version, run in evidence.selected.sweeps[sweep].runs().items()
+        f"{version}: {result_link(run.file_name)}"
+        for version, run in evidence.selected.sweeps[sweep].runs_by_version().items()
     )
-    return f"{markdown(head, rows)}\n\nFrom {files}."
+    return f"{markdown_table(head, rows)}\n\nFrom {files}."
 
 
 def _slope_row(evidence: Evidence, sweep: str, measure: str) -> list[str]:
+    """Return the row of one measure in the table of a sweep."""
     before = evidence.at_target(sweep, measure, "before")
     after = evidence.at_target(sweep, measure)
-    shown = MEASURES[measure]
+    description = MEASURES[measure]
     return [
-        shown.text,
-        describe_growth(evidence.growth(sweep, measure, "before")),
-        describe_growth(evidence.growth(sweep, measure)),
-        before.text(shown.unit),
-        after.text(shown.unit),
+        description.text,
+        describe_growth(evidence.fit_growth(sweep, measure, "before")),
+        describe_growth(evidence.fit_growth(sweep, measure)),
+        before.text(description.unit),
+        after.text(description.unit),
         str(after.mark),
     ]
 
 
-def all_slopes(evidence: Evidence) -> str:
-    """A section for each sweep: those that a target asks for, also if they were not run, then the others."""
-    names = [name for name in DIMENSIONS if name in evidence.selected.sweeps or name in MEASURED_DIMENSIONS]
+def slope_sections(evidence: Evidence) -> str:
+    """Return a section for each sweep with a target.
+
+    The sweeps named after a dimension come first, even if they were not run, then the others.
+    """
+    names = [name for name in DIMENSION_TARGETS if name in evidence.selected.sweeps or name in ALL_SWEEPS]
     names += [name for name in evidence.selected.sweeps if name not in names and evidence.target(name)]
     sections = [f"### {name.replace('_', ' ')}\n\n{slope_table(evidence, name)}" for name in names]
     return "\n\n".join(sections)
--- a/scale/report/versions.py
+++ b/scale/report/versions.py
@@ -1,4 +1,4 @@
-"""Picks, out of all results, the runs of each sweep before and after a change, and the runs of scenarios."""
+"""Select the runs that the page shows: each sweep's before and after a change, and the newest scenarios."""
 
 from __future__ import annotations
 
@@ -6,34 +6,35 @@
 from dataclasses import dataclass, field
 from pathlib import Path
 
-from scale.report.fits import Growth, fit
+from scale.report.fits import Growth, fit_growth
 from scale.report.targets import dimension_of
 from scale.results import Result, load
 
-ORDER_FILE = "commits.txt"  # commits, oldest first, one a line; commits that it leaves out come after it
+# File that lists commits, one per line, oldest first.  Commits that it does not list count as newer.
+COMMIT_ORDER_FILE = "commits.txt"
 
 
 @dataclass(frozen=True, slots=True)
 class SavedResult:
     """A result and the name of its file."""
 
-    file: str
+    file_name: str
     result: Result
 
     @property
     def version(self) -> str:
-        """The commit as it is shown."""
+        """Return the abbreviated commit, with a note if there were uncommitted changes."""
         return self.result.commit[:7] + (" with uncommitted changes" if self.result.dirty else "")
 
     @property
     def dimension(self) -> str:
-        """The size that the sweep varies."""
+        """Return the dimension that the sweep varies."""
         return dimension_of(self.result.name)
 
     def growth(self, measure: str) -> Growth | None:
-        """The fits of a measure over the swept dimension; None if there are too few points."""
+        """Fit a measure over the dimension that the sweep varies; None if there are too few points."""
         dimension = self.dimension
-        return fit(
+        return fit_growth(
             [
                 (point.sizes[dimension], point.measures[measure])
                 for point in self.result.points
@@ -42,13 +43,13 @@
         )
 
     def measures(self) -> list[str]:
-        """The names of all measures, sorted."""
+        """Return the names of all measures, sorted."""
         return sorted({name for point in self.result.points for name in point.measures})
 
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """The runs of one sweep on the oldest and on the newest commit; one run alone is `after`."""
+    """The runs of one sweep on the oldest and the newest commit; a single run is stored as `after`."""
 
     name: str
     after: SavedResult
@@ -56,32 +57,32 @@
 
     @property
     def dimension(self) -> str:
-        """The size that it varies."""
+        """Return the dimension that the sweep varies."""
         return dimension_of(self.name)
 
-    def runs(self) -> dict[str, SavedResult]:
-        """The runs by "before" and "after", the older one first."""
+    def runs_by_version(self) -> dict[str, SavedResult]:
+        """Return the runs by "before" and "after", the older one first."""
         return ({} if self.before is None else {"before": self.before}) | {"after": self.after}
 
 
 @dataclass(frozen=True, slots=True)
 class SelectedRuns:
-    """What the page and the plots are made of."""
+    """The runs that the page and the plots show: sweeps and scenarios by name, and cold starts."""
 
     sweeps: dict[str, Sweep] = field(default_factory=dict)
     scenarios: dict[str, SavedResult] = field(default_factory=dict)
-    cold: SavedResult | None = None  # the newest commit's run of cold starts
+    cold: SavedResult | None = None  # the run of cold starts on the newest commit
 
 
-def read_saved(folder: Path) -> list[SavedResult]:
-    """All results of a folder, the oldest first."""
-    saved = [SavedResult(path.name, load(path)) for path in sorted(folder.glob("*.json"))]
-    return sorted(saved, key=lambda each: (each.result.taken_at, each.file))
+def read_saved_results(folder: Path) -> list[SavedResult]:
+    """Load all results of a folder, the oldest first."""
+    saved_results = [SavedResult(path.name, load(path)) for path in sorted(folder.glob("*.json"))]
+    return sorted(saved_results, key=lambda saved: (saved.result.taken_at, saved.file_name))
 
 
-def read_order(folder: Path) -> list[str]:
-    """The commits that the order file names, oldest first; none if there is no such file."""
-    path = folder / ORDER_FILE
+def read_commit_order(folder: Path) -> list[str]:
+    """Read the commits that the order file lists, oldest first; an empty list if there is no such file."""
+    path = folder / COMMIT_ORDER_FILE
     if not path.exists():
         return []
     return [
@@ -91,27 +92,27 @@
     ]
 
 
-def _rank(commit: str, order: list[str]) -> int:
-    """The place of a commit in the order."""
-    return next((at for at, named in enumerate(order) if commit.startswith(named)), len(order))
+def _commit_position(commit: str, order: list[str]) -> int:
+    """Return the position of a commit in the order; one that is not listed comes last."""
+    return next((position for position, prefix in enumerate(order) if commit.startswith(prefix)), len(order))
 
 
-def _by_commit(saved: Iterable[SavedResult], order: list[str]) -> list[SavedResult]:
-    """The newest run of each commit.  Commits stand as the order says, then by their first run."""
+def _select_newest_runs(saved_results: Iterable[SavedResult], order: list[str]) -> list[SavedResult]:
+    """Return the newest run of each commit, sorted by the commit order, then by each commit's first run."""
     newest: dict[str, SavedResult] = {}
-    for each in saved:
-        newest[each.result.commit] = each
-    return sorted(newest.values(), key=lambda each: _rank(each.result.commit, order))
+    for saved in saved_results:
+        newest[saved.result.commit] = saved
+    return sorted(newest.values(), key=lambda saved: _commit_position(saved.result.commit, order))
 
 
-def select_runs(saved: list[SavedResult], order: list[str]) -> SelectedRuns:
-    """The oldest and the newest commit's run of each sweep, the newest's of scenarios and cold starts."""
+def select_runs(saved_results: list[SavedResult], order: list[str]) -> SelectedRuns:
+    """Select each sweep's runs on its oldest and newest commit, and the newest scenarios and cold starts."""
     groups: dict[tuple[str, str], list[SavedResult]] = {}
-    for each in saved:
-        groups.setdefault((each.result.kind, each.result.name), []).append(each)
+    for saved in saved_results:
+        groups.setdefault((saved.result.kind, saved.result.name), []).append(saved)
     sweeps, scenarios, cold = {}, {}, None
     for (kind, name), group in sorted(groups.items()):
-        runs = _by_commit(group, order)
+        runs = _select_newest_runs(group, order)
         if kind == "run":
             scenarios[name] = runs[-1]
         elif kind == "cold":
--- a/tests/scale/report/saved_sweeps.py
+++ b/tests/scale/report/saved_sweeps.py
@@ -1,4 +1,4 @@
-"""Results made up for the tests of the report."""
+"""Saved results with synthetic measurements, for the tests of the report."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 from scale.results import Environment, Point, Result, save
 
 SIZES = (10.0, 50.0, 100.0, 500.0, 1000.0)
-FIRST = datetime(2026, 1, 1, tzinfo=UTC)
-OLD = "a" * 40
-NEW = "b" * 40
+FIRST_TAKEN_AT = datetime(2026, 1, 1, tzinfo=UTC)
+OLD_COMMIT = "a" * 40
+NEW_COMMIT = "b" * 40
 ENVIRONMENT = Environment(
     cores=8, memory_gb=24, python="3.11", load_before=1, load_after=1, busy_others=0, busy_others_cores=0
 )
@@ -25,7 +25,7 @@
     measure: str = "change_cpu_us",
     dirty: bool = False,
 ) -> Path:
-    """Saves a sweep with one measure."""
+    """Save a sweep of the dimension `name` with one measure, and return the file's path."""
     points = [
         Point(sizes={name: size}, measures={measure: cost}) for size, cost in zip(SIZES, costs, strict=True)
     ]
@@ -37,7 +37,7 @@
             dirty=dirty,
             seconds=1,
             points=points,
-            taken_at=FIRST + timedelta(minutes=minutes),
+            taken_at=FIRST_TAKEN_AT + timedelta(minutes=minutes),
             environment=ENVIRONMENT,
         ),
         folder,
--- a/tests/scale/report/test_command.py
+++ b/tests/scale/report/test_command.py
@@ -1,4 +1,4 @@
-"""The command that writes or checks the page."""
+"""Tests of the command that writes or checks the page."""
 
 from __future__ import annotations
 
@@ -7,16 +7,16 @@
 from click.testing import CliRunner
 
 from scale.commands.report import OUT_OF_DATE, command
-from tests.scale.report.saved_sweeps import OLD, SIZES, write_sweep
+from tests.scale.report.saved_sweeps import OLD_COMMIT, SIZES, write_sweep
 
 
-def test_check_tells_a_page_that_is_out_of_date(tmp_path: Path) -> None:
+def test_check_fails_when_page_is_out_of_date(tmp_path: Path) -> None:
     results, page = tmp_path / "results", tmp_path / "page.md"
-    write_sweep(results, OLD, 0, [2 * size for size in SIZES])
+    write_sweep(results, OLD_COMMIT, 0, [2 * size for size in SIZES])
     arguments = ["--results", str(results), "--page", str(page), "--plots", str(tmp_path / "plots")]
     assert CliRunner().invoke(command, [*arguments, "--check"]).exit_code == OUT_OF_DATE
     written = CliRunner().invoke(command, arguments)
     assert written.exit_code == 0, written.output
     assert CliRunner().invoke(command, [*arguments, "--check"]).exit_code == 0
-    write_sweep(results, OLD, 1, [3 * size for size in SIZES])
+    write_sweep(results, OLD_COMMIT, 1, [3 * size for size in SIZES])
     assert CliRunner().invoke(command, [*arguments, "--check"]).exit_code == OUT_OF_DATE
--- a/tests/scale/report/test_constants.py
+++ b/tests/scale/report/test_constants.py
@@ -1,4 +1,4 @@
-"""The constants that the page takes from the code."""
+"""Tests of reading the constants of the code that the page shows."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from scale.report.figures import MISSING
 
 
-def test_a_removed_constant_is_not_guessed(tmp_path: Path) -> None:
+def test_removed_constant_is_reported_as_missing(tmp_path: Path) -> None:
     constants = Constants(tmp_path)
-    assert constants.figure("DEFAULT_MAX_BODY_BYTES") == MISSING
-    assert constants.text("DEFAULT_MAX_BODY_BYTES") == "`DEFAULT_MAX_BODY_BYTES` (not in this code)"
+    assert constants.get_figure("DEFAULT_MAX_BODY_BYTES") == MISSING
+    assert constants.describe("DEFAULT_MAX_BODY_BYTES") == "`DEFAULT_MAX_BODY_BYTES` (not in this code)"
--- a/tests/scale/report/test_figures.py
+++ b/tests/scale/report/test_figures.py
@@ -1,4 +1,4 @@
-"""Figures: their marks and how they are rounded."""
+"""Tests of the figures' marks, ranges and rounding."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 import pytest
 
-from scale.report.figures import MISSING, Figure, Mark, combine, computed, number
+from scale.report.figures import MISSING, Figure, Mark, combine, computed_figure, format_number
 
 
-def test_a_figure_is_as_sure_as_the_least_sure_of_its_parts() -> None:
+def test_combined_figure_takes_least_reliable_mark() -> None:
     extrapolated = Figure(Mark.EXTRAPOLATED, 2, 1, 3, ("a.json",))
-    assert combine(add, computed(1), extrapolated) == Figure(Mark.EXTRAPOLATED, 3, 2, 4, ("a.json",))
+    assert combine(add, computed_figure(1), extrapolated) == Figure(Mark.EXTRAPOLATED, 3, 2, 4, ("a.json",))
     assert combine(add, extrapolated, MISSING) == MISSING
     assert extrapolated.map(lambda value: 6 / value) == Figure(Mark.EXTRAPOLATED, 3, 2, 6, ("a.json",))
     assert extrapolated.text("ms") == "2 ms (1 to 3)"
@@ -35,5 +35,5 @@
         (9.99, "10"),
     ],
 )
-def test_numbers_are_rounded_to_two_digits(value: float, shown: str) -> None:
-    assert number(value) == shown
+def test_numbers_are_formatted_with_two_significant_digits(value: float, shown: str) -> None:
+    assert format_number(value) == shown
--- a/tests/scale/report/test_fits.py
+++ b/tests/scale/report/test_fits.py
@@ -1,77 +1,77 @@
-"""Fits of a cost over a size: power laws, lines, and the sizes at which a cost passes its limit."""
+"""Tests of the fits of a cost over a size, and of the sizes at which a cost exceeds a limit."""
 
 from __future__ import annotations
 
 import pytest
 
-from scale.report.fits import Growth, Line, PowerLaw, fit
+from scale.report.fits import Growth, Line, PowerLaw, fit_growth
 from tests.scale.report.saved_sweeps import SIZES
 
 
-def fitted(costs: list[float]) -> Growth:
-    growth = fit(list(zip(SIZES, costs, strict=True)))
+def fit_costs(costs: list[float]) -> Growth:
+    growth = fit_growth(list(zip(SIZES, costs, strict=True)))
     assert growth is not None
     return growth
 
 
-def test_a_power_law_is_found() -> None:
-    growth = fitted([3 * size**1.5 for size in SIZES])
-    assert isinstance(growth.chosen, PowerLaw)
-    assert growth.chosen.exponent == pytest.approx(1.5)
-    assert growth.chosen.factor == pytest.approx(3)
-    assert growth.chosen.r2 == pytest.approx(1)
+def test_power_law_is_fitted() -> None:
+    growth = fit_costs([3 * size**1.5 for size in SIZES])
+    assert isinstance(growth.better_fit, PowerLaw)
+    assert growth.better_fit.exponent == pytest.approx(1.5)
+    assert growth.better_fit.factor == pytest.approx(3)
+    assert growth.better_fit.r2 == pytest.approx(1)
 
 
-def test_a_line_with_a_base_is_found_and_bounds_the_estimate() -> None:
-    growth = fitted([200 + 2 * size for size in SIZES])
-    assert isinstance(growth.chosen, Line)
+def test_line_with_base_is_fitted_and_is_high_end_of_estimate() -> None:
+    growth = fit_costs([200 + 2 * size for size in SIZES])
+    assert isinstance(growth.better_fit, Line)
     assert growth.power is not None
     estimate = growth.estimate(100_000)
     assert not estimate.measured
     assert estimate.value == pytest.approx(200_200)
-    assert estimate.low == pytest.approx(growth.power.at(100_000))
+    assert estimate.low == pytest.approx(growth.power.cost_at(100_000))
     assert estimate.low < estimate.value == estimate.high
 
 
-def test_a_size_among_the_measured_ones_is_not_extrapolated() -> None:
-    estimate = fitted([10 * size for size in SIZES]).estimate(75)
+def test_size_within_measured_range_is_interpolated() -> None:
+    estimate = fit_costs([10 * size for size in SIZES]).estimate(75)
     assert estimate.measured
     assert estimate.value == pytest.approx(750)
 
 
-def test_costs_of_zero_leave_the_line_alone() -> None:
-    growth = fitted([0.0, 1.0, 2.0, 3.0, 4.0])
+def test_cost_of_zero_excludes_power_law() -> None:
+    growth = fit_costs([0.0, 1.0, 2.0, 3.0, 4.0])
     assert growth.power is None
-    assert isinstance(growth.chosen, Line)
+    assert isinstance(growth.better_fit, Line)
 
 
-def test_a_line_that_falls_is_held_at_the_least_measured_cost() -> None:
-    assert fitted([9.0, 8.0, 7.0, 6.0, 5.0]).estimate(1e6).high == 5
+def test_falling_line_is_not_extrapolated_below_lowest_measured_cost() -> None:
+    assert fit_costs([9.0, 8.0, 7.0, 6.0, 5.0]).estimate(1e6).high == 5
 
 
-def test_two_sizes_are_too_few() -> None:
-    assert fit([(1, 1), (1, 2), (2, 3)]) is None
+def test_two_different_sizes_are_not_fitted() -> None:
+    assert fit_growth([(1, 1), (1, 2), (2, 3)]) is None
 
 
 @pytest.mark.parametrize(("limit", "size", "measured"), [(5_000, 500, True), (50_000, 5_000, False)])
-def test_the_size_at_which_a_cost_passes_its_limit(limit: float, size: float, measured: bool) -> None:
-    estimate = fitted([10 * size for size in SIZES]).size_for(limit)
+def test_size_at_limit_is_interpolated_or_extrapolated(limit: float, size: float, measured: bool) -> None:
+    estimate = fit_costs([10 * size for size in SIZES]).size_for(limit)
     assert estimate is not None
     assert estimate.value == pytest.approx(size)
     assert estimate.measured is measured
 
 
-def test_a_cost_above_its_limit_from_the_start_gives_out_at_the_least_size() -> None:
-    estimate = fitted([10 * size for size in SIZES]).size_for(1)
+def test_cost_always_above_limit_reaches_it_at_smallest_measured_size() -> None:
+    estimate = fit_costs([10 * size for size in SIZES]).size_for(1)
     assert estimate is not None
     assert estimate.value == SIZES[0]
 
 
 @pytest.mark.parametrize("costs", [[7.0] * 5, [9.0, 8.0, 7.0, 6.0, 5.0]])
-def test_a_cost_that_does_not_grow_never_passes_its_limit(costs: list[float]) -> None:
-    assert fitted(costs).size_for(100) is None
+def test_cost_that_does_not_grow_never_reaches_limit(costs: list[float]) -> None:
+    assert fit_costs(costs).size_for(100) is None
 
 
-def test_a_power_law_that_is_nearly_flat_reaches_a_high_cost_at_no_size_that_matters() -> None:
+def test_nearly_flat_power_law_has_no_size_for_high_cost() -> None:
     assert PowerLaw(factor=150.0, exponent=0.0015, r2=0.1).size_for(2400.0) is None
     assert PowerLaw(factor=2.0, exponent=0.5, r2=1.0).size_for(20.0) == pytest.approx(100.0)
--- a/tests/scale/report/test_versions.py
+++ b/tests/scale/report/test_versions.py
@@ -1,4 +1,4 @@
-"""The choice of runs: the oldest and the newest commit of each sweep."""
+"""Tests of the selection of runs on the oldest and the newest commit of each sweep."""
 
 from __future__ import annotations
 
@@ -7,35 +7,37 @@
 from scale.report.evidence import Evidence
 from scale.report.figures import MISSING
 from scale.report.page import read_selected_runs
-from scale.report.versions import ORDER_FILE, SelectedRuns
-from tests.scale.report.saved_sweeps import NEW, OLD, write_sweep
+from scale.report.versions import COMMIT_ORDER_FILE, SelectedRuns
+from tests.scale.report.saved_sweeps import NEW_COMMIT, OLD_COMMIT, write_sweep
 
 
-def test_before_and_after_are_the_oldest_and_newest_commit(tmp_path: Path) -> None:
-    write_sweep(tmp_path, OLD, 0, [1.0] * 5)
-    again = write_sweep(tmp_path, OLD, 9, [2.0] * 5)
-    new = write_sweep(tmp_path, NEW, 5, [3.0] * 5, dirty=True)
+def test_before_and_after_are_oldest_and_newest_commit(tmp_path: Path) -> None:
+    write_sweep(tmp_path, OLD_COMMIT, 0, [1.0] * 5)
+    again = write_sweep(tmp_path, OLD_COMMIT, 9, [2.0] * 5)
+    new = write_sweep(tmp_path, NEW_COMMIT, 5, [3.0] * 5, dirty=True)
     sweep = read_selected_runs(tmp_path).sweeps["backends"]
     assert sweep.before is not None
-    assert sweep.before.file == again.name
-    assert sweep.after.file == new.name
+    assert sweep.before.file_name == again.name
+    assert sweep.after.file_name == new.name
     assert sweep.after.version == "bbbbbbb with uncommitted changes"
 
 
-def test_the_order_file_goes_before_the_order_of_the_runs(tmp_path: Path) -> None:
-    write_sweep(tmp_path, NEW, 0, [1.0] * 5)
-    old = write_sweep(tmp_path, OLD, 5, [2.0] * 5)
-    (tmp_path / ORDER_FILE).write_text(f"# oldest first\n{OLD[:7]}\n{NEW[:7]}\n", encoding="utf-8")
+def test_order_file_takes_precedence_over_order_of_runs(tmp_path: Path) -> None:
+    write_sweep(tmp_path, NEW_COMMIT, 0, [1.0] * 5)
+    old = write_sweep(tmp_path, OLD_COMMIT, 5, [2.0] * 5)
+    (tmp_path / COMMIT_ORDER_FILE).write_text(
+        f"# oldest first\n{OLD_COMMIT[:7]}\n{NEW_COMMIT[:7]}\n", encoding="utf-8"
+    )
     sweep = read_selected_runs(tmp_path).sweeps["backends"]
     assert sweep.before is not None
-    assert sweep.before.file == old.name
+    assert sweep.before.file_name == old.name
 
 
-def test_a_single_commit_has_no_before(tmp_path: Path) -> None:
-    write_sweep(tmp_path, OLD, 0, [1.0] * 5)
+def test_single_commit_has_no_before(tmp_path: Path) -> None:
+    write_sweep(tmp_path, OLD_COMMIT, 0, [1.0] * 5)
     evidence = Evidence(read_selected_runs(tmp_path))
     assert evidence.at_target("backends", "change_cpu_us", "before") == MISSING
 
 
-def test_nothing_saved_gives_nothing(tmp_path: Path) -> None:
+def test_no_saved_results_select_no_runs(tmp_path: Path) -> None:
     assert read_selected_runs(tmp_path) == SelectedRuns()
