--- a/scale/report/fits.py
+++ b/scale/report/fits.py
@@ -10,7 +10,8 @@
 from numpy.typing import NDArray
 
 MIN_FIT_SIZES = 3  # different sizes that a fit needs
-# Exponent, or relative change over all measured sizes, up to which a cost counts as constant.
+# Exponent, or relative change over all measured sizes, up to which a cost counts as constant: rounding alone
+# causes changes this small.
 FLAT_GROWTH = 1e-3
 # Natural logarithm of the largest size that is reported: a nearly flat power law reaches a cost only at sizes
 # that no fleet has.
--- a/scale/report/plots.py
+++ b/scale/report/plots.py
@@ -16,7 +16,7 @@
 from scale.report.targets import DIMENSION_TARGETS
 from scale.report.versions import SelectedRuns, Sweep
 
-COLUMNS = 2  # of plots in one figure
+COLUMNS = 2  # columns of plots in one figure
 PANEL_INCHES = (3.6, 2.5)  # width and height of one measure's plot
 MIN_LOG_SCALE_RATIO = 10.0  # ratio of the highest to the lowest cost up to which the cost axis is linear
 COLORS = {"before": "#b3541e", "after": "#1f5f8b"}
