--- a/ingress/__init__.py
+++ b/ingress/__init__.py
@@ -1,1 +1,1 @@
-"""Admission decisions for gateways of a service sold by plan."""
+"""An API gateway that enforces the customers' plans and balances requests over backends."""
--- a/ingress/errors.py
+++ b/ingress/errors.py
@@ -1,7 +1,7 @@
-"""The base of the errors that the program raises itself."""
+"""The base class of the exceptions that the program defines."""
 
 from __future__ import annotations
 
 
 class IngressError(Exception):
-    """Base of the errors that have a cause outside the program: a peer, a client or the configuration."""
+    """Base class of the errors caused from outside the program: by a peer, a client or the configuration."""
--- a/ingress/event_queue.py
+++ b/ingress/event_queue.py
@@ -1,4 +1,4 @@
-"""The queue through which the decision module is handed its events, one at a time."""
+"""A queue that passes events to the decision module one at a time."""
 
 from __future__ import annotations
 
@@ -9,9 +9,10 @@
 
 
 class EventQueue:
-    """Passes events to a handler in their order, never one inside the handling of another.
+    """Queue that passes events to a handler in the order of arrival, never while it handles another event.
 
-    Carrying out the actions for one event may produce further events at once; those wait for their turn.
+    The actions that follow from one event may produce further events at once; these are queued until the
+    handler returns.
     """
 
     def __init__(self, handle: Callable[[Event], None]) -> None:
@@ -20,9 +21,10 @@
         self._is_draining = False
 
     def feed(self, event: Event) -> None:
-        """Handle the event and all that it causes, or leave it to the call of `feed` that is under way.
+        """Handle the event and all events that it causes; only queue it if a call of `feed` is under way.
 
-        An exception of the handler passes through; the events behind it are kept for the next call.
+        An exception raised by the handler is passed on to the caller; the events that are still queued are
+        handled by the next call.
         """
         self._events.append(event)
         if self._is_draining:
--- a/ingress/gossip_codec.py
+++ b/ingress/gossip_codec.py
@@ -1,7 +1,8 @@
-"""The text of the messages in which gateways report their customers' use to each other.
+"""Encode and decode the gossip messages in which gateways report their customers' usage to each other.
 
-A message holds the start of the sender's process and, for each customer, its hash and a running total:
-`1733115600123 5be2a07c:40 1f03aa5c:125`, totals in tenths of a unit.
+A message is a line of text.  It holds the time at which the sender's process started (Unix ms) and, for each
+customer, the hash of its key and the running total of its usage since then, in tenths of a unit, for example
+`1733115600123 5be2a07c:40 1f03aa5c:125`.
 """
 
 from __future__ import annotations
@@ -10,51 +11,51 @@
 from dataclasses import dataclass
 from typing import NamedTuple
 
-MAX_TEXT_BYTES = 250  # a host sends messages of 256 bytes at most
-TOTALS_PER_UNIT = 10  # totals are written as multiples of a tenth of a unit
+MAX_TEXT_BYTES = 250  # the host sends messages of at most 256 bytes
+TENTHS_PER_UNIT = 10  # totals are encoded as whole tenths of a unit
 
 
 @dataclass(frozen=True, slots=True)
 class UseReport:
-    """One message, decoded."""
+    """A decoded message."""
 
     incarnation: int
-    """Start of the sender's process in Unix milliseconds."""
+    """Time at which the sender's process started, in Unix milliseconds."""
     totals: tuple[tuple[int, float], ...]
-    """Pairs of a customer's hash and the units that it has used since that start."""
+    """Pairs of a customer's hash and the units that the customer has used since the process started."""
 
 
 class FormattedReport(NamedTuple):
-    """One message, encoded."""
+    """An encoded message."""
 
     text: str
     included: int
-    """How many of the totals the text holds."""
+    """Number of totals that the text holds."""
 
 
 def parse_report(text: str) -> UseReport | None:
-    """Decodes a message; None if it is malformed."""
+    """Decode a message; return None if it is malformed."""
     try:
-        incarnation, *rows = text.split()
-        pairs = [row.split(":") for row in rows]
-        totals = tuple((int(key, 16), int(total) / TOTALS_PER_UNIT) for key, total in pairs)
+        incarnation, *items = text.split()
+        pairs = [item.split(":") for item in items]
+        totals = tuple((int(customer, 16), int(total) / TENTHS_PER_UNIT) for customer, total in pairs)
         return UseReport(int(incarnation), totals)
     except ValueError:
         return None
 
 
 def format_report(incarnation: int, totals: Iterable[tuple[int, float]]) -> FormattedReport:
-    """Encodes the first of the totals, in their order, as many as one message holds.
+    """Encode as many of the totals, in the given order, as fit into one message.
 
-    `incarnation` is the start of this process in Unix milliseconds; a total is a pair of the customer's hash
-    and its units.
+    `incarnation` is the time at which this process started, in Unix milliseconds.  Each total is a pair of a
+    customer's hash and the units that the customer has used.
     """
     text = str(incarnation)
     included = 0
     for customer_hash, total in totals:
-        row = f" {customer_hash:x}:{round(total * TOTALS_PER_UNIT)}"
-        if len(text) + len(row) > MAX_TEXT_BYTES:
+        item = f" {customer_hash:x}:{round(total * TENTHS_PER_UNIT)}"
+        if len(text) + len(item) > MAX_TEXT_BYTES:
             break
-        text += row
+        text += item
         included += 1
     return FormattedReport(text, included)
--- a/ingress/settings_codec.py
+++ b/ingress/settings_codec.py
@@ -1,7 +1,8 @@
-"""The wire names of settings and load reports, which the simulator and the gateway's peers share.
+"""Decode settings, and translate the names of the figures in load reports.
 
-The simulator's `Start` message and the `settings` of EDGE_CONFIG have the same keys; the load reports of the
-simulator and of real backends name their figures alike.
+The simulator and the real ingress share this module.  The simulator's `Start` message has the same keys as
+the section `settings` of the configuration file that EDGE_CONFIG names, and simulated and real backends use
+the same names in their load reports.
 """
 
 from __future__ import annotations
@@ -19,18 +20,18 @@
     "rps": "qps",
     "err_rps": "eps",
 }
-"""The name of each figure of a load report by its name on the wire."""
+"""Map from the name of a load report figure on the wire to its name in the decision module."""
 
 
 def decode_settings(env: Mapping[str, Any]) -> api.Settings:
-    """Decode the settings of a `Start` message or of EDGE_CONFIG; unknown keys are ignored.
+    """Decode the settings of a `Start` message or of the configuration file; ignore unknown keys.
 
-    Raises KeyError for a missing key, ValueError for a figure out of its range, and TypeError or
+    Raise KeyError for a missing key, ValueError for a number outside its valid range, and TypeError or
     AttributeError for a value of the wrong type.
     """
     limits = env["limits"]
     rules = env["rules"]
-    info = env["family-info"]
+    fleet_info = env["family-info"]
     return api.Settings(
         classes=tuple(_decode_class(row) for row in env["categories"]),
         plans=tuple(_decode_plan(row) for row in env["contracts"]),
@@ -51,12 +52,12 @@
         cancellation=limits.get("cancel", False),
         health_checks=limits.get("probing", False),
         gossip=limits.get("peers", False),
-        gossip_receive_rate=info.get("mail-per-s", 0.0),
-        counter_enabled=info.get("counter", False),
-        counter_timeout=info.get("count-wait-s", 0.0),
-        usage_meter_period=info.get("meter-s", 0.0),
-        settles_units=info.get("cost-after", False),
-        max_request_units=info.get("most-units", 1),
+        gossip_receive_rate=fleet_info.get("mail-per-s", 0.0),
+        counter_enabled=fleet_info.get("counter", False),
+        counter_timeout=fleet_info.get("count-wait-s", 0.0),
+        usage_meter_period=fleet_info.get("meter-s", 0.0),
+        settles_units=fleet_info.get("cost-after", False),
+        max_request_units=fleet_info.get("most-units", 1),
         sends_retry_after=limits.get("retry-after", True),
     )
 
--- a/ingress/simulator/__init__.py
+++ b/ingress/simulator/__init__.py
@@ -1,1 +1,1 @@
-"""The decision module on the simulator's wire: `codec` translates messages, `adapter` hosts the gateways."""
+"""Run the decision module in the simulator: `codec` translates its messages, `adapter` hosts the gateways."""
--- a/ingress/simulator/__main__.py
+++ b/ingress/simulator/__main__.py
@@ -1,4 +1,4 @@
-"""The adapter as a program: `python -m ingress.simulator`, on standard input and output."""
+"""Entry point of `python -m ingress.simulator`: run the adapter on standard input and output."""
 
 import sys
 
--- a/ingress/simulator/adapter.py
+++ b/ingress/simulator/adapter.py
@@ -1,7 +1,8 @@
-"""The adapter: the simulator's wire on standard input and output, in front of `Gateway` instances.
+"""Connect `Gateway` instances to the simulator, through standard input and output.
 
-The input consists of batches, each with the time at which its messages arrive; the replies to a batch follow
-at its end.  A malformed line ends the program with a message that names what was wrong.
+Each line of the input is a JSON message.  The messages come in batches; a batch has a time, at which all its
+messages arrive, and the adapter writes the replies to it once it has read the whole batch.  A malformed line
+ends the program with an error message that says what is wrong.
 """
 
 from __future__ import annotations
@@ -30,11 +31,11 @@
 
 
 class MalformedInputError(IngressError):
-    """A line that is not what the wire describes."""
+    """The input violates the simulator's protocol."""
 
 
 class SimulatorAdapter:
-    """All gateways hosted by one process, and the endpoint lists that their messages refer to."""
+    """The gateways that this process hosts, and the endpoint lists to which their messages refer."""
 
     def __init__(self) -> None:
         self._gateways: dict[int, Gateway] = {}
@@ -43,29 +44,32 @@
     def handle_batch(self, now: float, messages: Iterable[Message]) -> list[dict[str, Any]]:
         """Return the replies to the messages that arrive at `now` (simulated seconds).
 
-        Raises MalformedInputError for a message that can't be decoded.
+        Raise MalformedInputError for a message that can't be decoded.
         """
         replies: list[dict[str, Any]] = []
         for message in messages:
-            command = self._accept(message)
+            command = self._decode_or_apply(message)
             if command is None or command.instance is None:
                 continue
             try:
                 replies.extend(self._execute(now, command.instance, command))
-            # Any exception is a fault of the decision module: the wire has a message to report it, with
-            # which the simulator stops and names the fault.
+            # Any exception here is a bug in the decision module.  It is reported to the simulator, which
+            # stops and prints the report.
             except Exception as error:  # noqa: BLE001
                 reason = f"{type(error).__name__}: {error} at {now} on {message['m']}"
                 replies.append(encode_fault(command.instance, reason))
                 return replies
         return replies
 
-    def _accept(self, message: Message) -> StartInstance | DeliverEvent | None:
-        """Decode a message; return its command, or None if there is nothing left to execute."""
+    def _decode_or_apply(self, message: Message) -> StartInstance | DeliverEvent | None:
+        """Decode a message; return its command if it is one for a gateway.
+
+        Store an endpoint list or remove a stopped gateway here, and return None.
+        """
         try:
             command = decode_command(message, self._snapshots)
             if isinstance(command, StoreSnapshot):
-                self._snapshots[command.number] = command.backends
+                self._snapshots[command.snapshot_id] = command.backends
                 return None
             if isinstance(command, StopInstance):
                 if command.instance is not None:
@@ -88,61 +92,61 @@
 
 
 class BatchReader:
-    """Reads the lines of the input, and writes the replies at the end of each batch."""
+    """Reader of the input lines; it writes the replies to each batch when the batch ends."""
 
-    def __init__(self, sink: TextIO) -> None:
-        self._sink = sink
+    def __init__(self, output_stream: TextIO) -> None:
+        self._output_stream = output_stream
         self._adapter = SimulatorAdapter()
-        self._now: float | None = None
-        """The time of the batch that is being read; None between batches."""
+        self._batch_time: float | None = None
+        """Time of the batch that is being read, in simulated seconds; None between batches."""
         self._messages: list[Message] = []
 
     def read_line(self, line: str) -> None:
-        """Take in one line.
+        """Process one line of the input.
 
-        Raises MalformedInputError, KeyError, TypeError or ValueError if it is malformed.
+        Raise MalformedInputError, KeyError, TypeError or ValueError if it is malformed.
         """
         message = json.loads(line)
         if not isinstance(message, dict):
-            raise MalformedInputError("a line must hold an object")
+            raise MalformedInputError("the line is not a JSON object")
         name = message.get("m")
         if name == "BeginBatch":
-            self._now = float(message["ts-s"])
+            self._batch_time = float(message["ts-s"])
             self._messages = []
-        elif self._now is None:
-            raise MalformedInputError(f"{name!r} stands outside a batch")
+        elif self._batch_time is None:
+            raise MalformedInputError(f"message {name!r} is outside a batch")
         elif name == "Eob":
-            self._write_replies(self._now)
-            self._now = None
+            self._write_replies(self._batch_time)
+            self._batch_time = None
         else:
             self._messages.append(message)
 
-    def finish(self) -> None:
-        """Check that the input may end here; raises MalformedInputError inside a batch."""
-        if self._now is not None:
+    def check_end(self) -> None:
+        """Raise MalformedInputError if the input ends inside a batch."""
+        if self._batch_time is not None:
             raise MalformedInputError("the input ends inside a batch")
 
     def _write_replies(self, now: float) -> None:
         for reply in self._adapter.handle_batch(now, self._messages):
-            self._sink.write(json.dumps(reply) + "\n")
-        self._sink.write('{"m":"Finished"}\n')
-        self._sink.flush()
+            self._output_stream.write(json.dumps(reply) + "\n")
+        self._output_stream.write('{"m":"Finished"}\n')
+        self._output_stream.flush()
 
 
-def serve(source: TextIO, sink: TextIO) -> None:
-    """Reply to each batch of `source` on `sink` until the input ends.
+def serve(input_stream: TextIO, output_stream: TextIO) -> None:
+    """Write the replies to the batches of the input to the output, until the input ends.
 
-    Raises MalformedInputError, with the number of the line, for a line that can't be understood.
+    Raise MalformedInputError, with the number of the line, if the input is malformed.
     """
-    reader = BatchReader(sink)
-    for number, line in enumerate(source, 1):
+    reader = BatchReader(output_stream)
+    for line_number, line in enumerate(input_stream, 1):
         if not line.strip():
             continue
         try:
             reader.read_line(line)
         except (MalformedInputError, KeyError, TypeError, ValueError) as error:
-            raise MalformedInputError(f"line {number}: {error}") from error
-    reader.finish()
+            raise MalformedInputError(f"line {line_number}: {error}") from error
+    reader.check_end()
 
 
 def main() -> int:
--- a/ingress/simulator/codec.py
+++ b/ingress/simulator/codec.py
@@ -1,8 +1,8 @@
-"""The simulator's wire: messages decoded into commands, and actions encoded into messages.
+"""Decode the simulator's messages into commands, and encode the gateways' actions into messages.
 
-Unknown keys are ignored.  Decoding raises KeyError for a missing key or an endpoint list that was never sent,
-ValueError for an unknown message or a value out of its range, and TypeError or AttributeError for a value of
-the wrong type.
+Unknown keys are ignored.  Decoding raises KeyError for a missing key, an unknown outcome or an endpoint list
+that was never sent, ValueError for an unknown message or a value outside its valid range, and TypeError or
+AttributeError for a value of the wrong type.
 """
 
 from __future__ import annotations
@@ -15,11 +15,11 @@
 from ingress.settings_codec import LOAD_REPORT_FIELDS, decode_settings
 
 Message = Mapping[str, Any]
-"""A line of the wire, decoded from JSON."""
+"""A line of the input or output as a JSON object."""
 Snapshots = Mapping[int, tuple[api.Backend, ...]]
-"""The endpoint lists that were sent so far, by their numbers."""
+"""The endpoint lists received so far, by snapshot id."""
 
-OUTCOMES = {
+OUTCOMES_BY_RESULT_CODE = {
     "completed": api.Outcome.OK,
     "errored": api.Outcome.ERROR,
     "saturated": api.Outcome.REJECTED,
@@ -33,36 +33,36 @@
 
 @dataclass(slots=True)
 class StoreSnapshot:
-    """Keep an endpoint list, to which later messages refer by its number."""
+    """Store an endpoint list; later messages refer to it by its id."""
 
-    number: int
+    snapshot_id: int
     backends: tuple[api.Backend, ...]
 
 
 @dataclass(slots=True)
 class StartInstance:
-    """Start a gateway, in place of the one of that number if there is one."""
+    """Start a gateway; replace the instance with the same index, if any."""
 
     instance: int | None
-    """None has no effect."""
+    """Index of the gateway; a command with None has no effect."""
     settings: api.Settings
     seed: int
 
 
 @dataclass(slots=True)
 class StopInstance:
-    """Drop a gateway."""
+    """Remove a gateway."""
 
     instance: int | None
-    """None has no effect."""
+    """Index of the gateway; a command with None has no effect."""
 
 
 @dataclass(slots=True)
 class DeliverEvent:
-    """Hand an event to a gateway; one that is not running ignores it."""
+    """Pass an event to a gateway; drop it if that gateway is not running."""
 
     instance: int | None
-    """None has no effect."""
+    """Index of the gateway; a command with None has no effect."""
     event: api.Event
 
 
@@ -70,7 +70,7 @@
 
 
 def decode_command(message: Message, snapshots: Snapshots) -> Command:
-    """Decode a message between the marks of a batch."""
+    """Decode a message other than those that begin and end a batch."""
     name = message["m"]
     if name == "SnapshotRows":
         backends = tuple(decode_backend(row) for row in message["members-list"])
@@ -108,7 +108,7 @@
 
 
 def _decode_request(message: Message) -> api.Request:
-    # Positional, as keyword arguments cost time and this is decoded for each request.
+    # The arguments are positional because keyword arguments are slower, and this runs for each request.
     return api.Request(
         message["rid"],
         message["service"],
@@ -134,7 +134,7 @@
         message["rid"],
         message.get("round-no", 0),
         message["backend"],
-        OUTCOMES[message["rc"]],
+        OUTCOMES_BY_RESULT_CODE[message["rc"]],
         message.get("latency-s", 0.0),
         message.get("finished", False),
         message.get("used", 0),
@@ -154,7 +154,7 @@
 def _decode_health_check_ended(message: Message) -> api.HealthCheckEnded:
     return api.HealthCheckEnded(
         message["backend"],
-        OUTCOMES[message["rc"]],
+        OUTCOMES_BY_RESULT_CODE[message["rc"]],
         message.get("latency-s", 0.0),
         _decode_load_report(message),
     )
@@ -167,7 +167,7 @@
 def _decode_counter_reply(message: Message) -> api.CounterReply:
     return api.CounterReply(
         message["name"],
-        OUTCOMES[message["rc"]],
+        OUTCOMES_BY_RESULT_CODE[message["rc"]],
         message.get("level", 0.0),
         message.get("latency-s", 0.0),
     )
@@ -190,48 +190,48 @@
 
 
 def encode_action(action: api.Action, instance: int | None) -> dict[str, Any]:
-    """Encode an action of a gateway into the message for it."""
+    """Encode an action of a gateway into a message."""
     message = _encode_request_action(action) or _encode_fleet_action(action)
     message["ingress"] = instance
     return message
 
 
 def _encode_request_action(action: api.Action) -> dict[str, Any] | None:
-    """Encode an action that concerns one request or a timer; None for any other."""
+    """Encode an action on a request or a timer; return None for any other action."""
     match action:
-        case api.SendAttempt(id=request, backend=backend, timeout=timeout):
-            return {"m": "CallOut", "rid": request, "backend": backend, "cap-s": timeout}
-        case api.CancelAttempt(id=request, attempt=attempt):
-            return {"m": "AbortAttempt", "rid": request, "round-no": attempt}
-        case api.Reject(id=request, retry_after=retry_after):
-            return {"m": "Decline", "rid": request, "retry-after-s": retry_after}
-        case api.Fail(id=request):
-            return {"m": "Abort", "rid": request}
+        case api.SendAttempt(id=request_id, backend=backend_id, timeout=timeout):
+            return {"m": "CallOut", "rid": request_id, "backend": backend_id, "cap-s": timeout}
+        case api.CancelAttempt(id=request_id, attempt=attempt_number):
+            return {"m": "AbortAttempt", "rid": request_id, "round-no": attempt_number}
+        case api.Reject(id=request_id, retry_after=retry_after):
+            return {"m": "Decline", "rid": request_id, "retry-after-s": retry_after}
+        case api.Fail(id=request_id):
+            return {"m": "Abort", "rid": request_id}
         case api.SetTimer(delay=delay, token=token):
             return {"m": "Remind", "after-s": delay, "token": token}
     return None
 
 
 def _encode_fleet_action(action: api.Action) -> dict[str, Any]:
-    """Encode an action towards backends, other gateways, the counter, discovery or the log."""
+    """Encode an action on a backend, another gateway, the counter, discovery or the log."""
     match action:
-        case api.SendHealthCheck(backend=backend):
-            return {"m": "Inspect", "backend": backend}
-        case api.CloseIdleConnections(backend=backend):
-            return {"m": "Close", "backend": backend}
-        case api.SendGossip(text=text, peer=peer):
-            return {"m": "Share", "recipient": "all" if peer is None else peer, "content": text}
-        case api.IncrementCounter(name=name, add=add, lifetime=lifetime):
-            return {"m": "Tally", "name": name, "add": add, "lifetime-s": lifetime}
-        case api.SubscribeEndpoints(on=on):
-            return {"m": "Tail", "on": on}
+        case api.SendHealthCheck(backend=backend_id):
+            return {"m": "Inspect", "backend": backend_id}
+        case api.CloseIdleConnections(backend=backend_id):
+            return {"m": "Close", "backend": backend_id}
+        case api.SendGossip(text=text, peer=peer_index):
+            return {"m": "Share", "recipient": "all" if peer_index is None else peer_index, "content": text}
+        case api.IncrementCounter(name=count_name, add=amount, lifetime=lifetime):
+            return {"m": "Tally", "name": count_name, "add": amount, "lifetime-s": lifetime}
+        case api.SubscribeEndpoints(on=is_enabled):
+            return {"m": "Tail", "on": is_enabled}
         case api.FetchEndpoints():
             return {"m": "Lookup"}
         case api.LogMessage(text=text):
             return {"m": "Record", "reason-text": text}
-    raise TypeError(f"no such action: {action!r}")
+    raise TypeError(f"unknown action: {action!r}")
 
 
 def encode_fault(instance: int | None, reason: str) -> dict[str, Any]:
-    """Encode the report of an exception in the decision module; the simulator stops with its text."""
+    """Encode the report of an exception in the decision module; the simulator stops and prints the reason."""
     return {"m": "BailOut", "ingress": instance, "reason-text": reason}
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -1,4 +1,4 @@
-"""The simulator's adapter: batches, malformed input, faults, and the program."""
+"""Tests of the simulator's adapter: batches, malformed input, exceptions in the gateway, and the program."""
 
 from __future__ import annotations
 
@@ -26,7 +26,7 @@
     "family-info": {},
     "new-key": 1,
 }
-ROWS = [
+ENDPOINT_ROWS = [
     {
         "backend": f"10.0.0.{n}:9000",
         "failure-domain": "a",
@@ -40,15 +40,15 @@
 
 
 def encode_lines(*messages: object) -> str:
-    return "".join(json.dumps(m) + "\n" for m in messages)
+    return "".join(json.dumps(message) + "\n" for message in messages)
 
 
-def two_batches(env: object = ENV) -> str:
-    """A batch that starts a gateway, and one with thirty requests for it."""
+def encode_two_batches(env: object = ENV) -> str:
+    """Return a batch that starts a gateway, and a batch with 30 requests for it."""
     start = [
         {"m": "BeginBatch", "ts-s": 1.0},
         {"m": "Start", "ingress": 3, "nonce64": 7, "env": env},
-        {"m": "SnapshotRows", "set-id": 0, "members-list": ROWS},
+        {"m": "SnapshotRows", "set-id": 0, "members-list": ENDPOINT_ROWS},
         {"m": "BackendsChanged", "ingress": 3, "kind": "restored", "epoch": 1, "set-id": 0},
         {"m": "Eob"},
     ]
@@ -75,17 +75,17 @@
     return encode_lines(*start, *requests)
 
 
-def replies_to(text: str) -> list[dict[str, object]]:
-    out = io.StringIO()
-    serve(io.StringIO(text), out)
-    return [json.loads(line) for line in out.getvalue().splitlines()]
+def serve_text(text: str) -> list[dict[str, object]]:
+    output = io.StringIO()
+    serve(io.StringIO(text), output)
+    return [json.loads(line) for line in output.getvalue().splitlines()]
 
 
-def test_each_batch_is_answered_and_unknown_keys_are_ignored() -> None:
-    lines = replies_to(two_batches())
-    assert [m["m"] for m in lines].count("Finished") == 2
-    assert {m["rid"] for m in lines if m["m"] in ("CallOut", "Decline")} == {f"r{n}" for n in range(30)}
-    assert all(m["ingress"] == 3 for m in lines if m["m"] != "Finished")
+def test_each_batch_gets_replies_and_unknown_keys_are_ignored() -> None:
+    replies = serve_text(encode_two_batches())
+    assert [m["m"] for m in replies].count("Finished") == 2
+    assert {m["rid"] for m in replies if m["m"] in ("CallOut", "Decline")} == {f"r{n}" for n in range(30)}
+    assert all(m["ingress"] == 3 for m in replies if m["m"] != "Finished")
 
 
 @pytest.mark.parametrize(
@@ -100,44 +100,44 @@
         ('{"m":"BeginBatch","ts-s":1}\n', "inside a batch"),
     ],
 )
-def test_the_error_names_what_is_malformed(line: str, named: str) -> None:
+def test_error_names_the_malformed_part(line: str, named: str) -> None:
     with pytest.raises(MalformedInputError, match=named):
-        replies_to(line)
+        serve_text(line)
 
 
-def test_the_error_for_impossible_settings_names_the_key() -> None:
+def test_error_for_invalid_settings_names_the_field() -> None:
     with pytest.raises(MalformedInputError, match="rate"):
-        replies_to(two_batches(ENV | {"contracts": [{"name": "basic", "refill": -1.0, "burst": 1.0}]}))
+        serve_text(encode_two_batches(ENV | {"contracts": [{"name": "basic", "refill": -1.0, "burst": 1.0}]}))
     with pytest.raises(MalformedInputError, match="classes"):
-        replies_to(two_batches(ENV | {"categories": []}))
+        serve_text(encode_two_batches(ENV | {"categories": []}))
 
 
-def test_an_exception_in_the_decisions_becomes_a_fault_report(monkeypatch: pytest.MonkeyPatch) -> None:
-    def broken(*_: object) -> None:
+def test_exception_in_the_decision_module_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(*_: object) -> None:
         raise RuntimeError("on purpose")
 
-    monkeypatch.setattr("ingress.decisions.Gateway.handle", broken)
-    faults = [m for m in replies_to(two_batches()) if m["m"] == "BailOut"]
+    monkeypatch.setattr("ingress.decisions.Gateway.handle", raise_error)
+    faults = [m for m in serve_text(encode_two_batches()) if m["m"] == "BailOut"]
     assert faults
     assert "on purpose" in str(faults[0]["reason-text"])
 
 
 @pytest.mark.parametrize("hash_seed", ["0", "1", "77"])
-def test_the_same_events_give_the_same_actions_whatever_the_hash_seed(hash_seed: str) -> None:
-    done = subprocess.run(
+def test_actions_do_not_depend_on_the_hash_seed(hash_seed: str) -> None:
+    process = subprocess.run(
         [sys.executable, "-m", "ingress.simulator"],
-        input=two_batches(),
+        input=encode_two_batches(),
         capture_output=True,
         text=True,
         cwd=ROOT,
         env=os.environ | {"PYTHONHASHSEED": hash_seed},
         check=True,
     )
-    assert [json.loads(line) for line in done.stdout.splitlines()] == replies_to(two_batches())
+    assert [json.loads(line) for line in process.stdout.splitlines()] == serve_text(encode_two_batches())
 
 
-def test_the_program_ends_with_a_message_on_malformed_input() -> None:
-    done = subprocess.run(
+def test_program_exits_with_an_error_message_on_malformed_input() -> None:
+    process = subprocess.run(
         [sys.executable, "-m", "ingress.simulator"],
         input="nonsense\n",
         capture_output=True,
@@ -145,6 +145,6 @@
         cwd=ROOT,
         check=False,
     )
-    assert done.returncode == 2
-    assert "line 1" in done.stderr
-    assert not done.stdout
+    assert process.returncode == 2
+    assert "line 1" in process.stderr
+    assert not process.stdout
--- a/tests/simulator/test_codec.py
+++ b/tests/simulator/test_codec.py
@@ -1,4 +1,4 @@
-"""The wire's messages: events decoded from them, and actions encoded into them."""
+"""Tests of the simulator's messages: decoding into events, and encoding of actions."""
 
 from __future__ import annotations
 
@@ -58,7 +58,7 @@
     ],
     ids=lambda value: value["m"] if isinstance(value, dict) else "",
 )
-def test_a_message_is_decoded_into_an_event(message: dict[str, Any], event: api.Event) -> None:
+def test_message_is_decoded_into_an_event(message: dict[str, Any], event: api.Event) -> None:
     assert decode_command(message | {"ingress": 3}, SNAPSHOTS) == DeliverEvent(3, event)
 
 
@@ -81,7 +81,7 @@
     ],
     ids=lambda value: value["m"] if isinstance(value, dict) else "",
 )
-def test_an_action_is_encoded_into_a_message(action: api.Action, message: dict[str, Any]) -> None:
+def test_action_is_encoded_into_a_message(action: api.Action, message: dict[str, Any]) -> None:
     encoded = encode_action(action, 3)
     assert encoded == message | {"ingress": 3}
     assert list(encoded) == [*message, "ingress"]
--- a/tests/support/definitions.py
+++ b/tests/support/definitions.py
@@ -1,4 +1,4 @@
-"""The names that the Python files of a tree define, read from their text: nothing is run."""
+"""Find the names that the Python files of a tree define by parsing them; no module is executed."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 
 
 class Definitions:
-    """Looks up dotted names: a module, what it defines, and the members of its classes."""
+    """Index of the modules of a package, the names that they define, and the members of their classes."""
 
     def __init__(self, root: Path, package: str) -> None:
         self.package = package
@@ -20,10 +20,10 @@
             name: ast.parse(path.read_text(encoding="utf-8"))
             for name, path in find_modules(root, package).items()
         }
-        self.parts = {name.split(".")[1] for name in self.modules if "." in name}
+        self.part_names = {name.split(".")[1] for name in self.modules if "." in name}
 
-    def has(self, dotted: str) -> bool:
-        """Whether `dotted`, with or without the package in front, is a module or a name that one defines."""
+    def has_dotted_name(self, dotted: str) -> bool:
+        """Return whether `dotted`, with or without the package, is a module or a name defined in one."""
         parts = dotted.split(".")
         if parts[0] != self.package:
             parts = [self.package, *parts]
@@ -33,24 +33,24 @@
                 return _defines(module, parts[length:])
         return False
 
-    def has_member(self, dotted: str) -> bool:
-        """Whether some module defines `dotted`: a class, or a member of one after a dot."""
+    def has_name_in_any_module(self, dotted: str) -> bool:
+        """Return whether any module defines `dotted`: a name, or a class and a member after a dot."""
         return any(_defines(module, dotted.split(".")) for module in self.modules.values())
 
 
 def _defines(scope: ast.Module | Definition, names: list[str]) -> bool:
-    """Whether a scope holds the first name, and that one the next, and so on."""
+    """Return whether a scope defines the first name, the definition of that name the second, and so on."""
     if not names:
         return True
-    if len(names) == 1 and names[0] in _plain_names(scope):
+    if len(names) == 1 and names[0] in _find_variable_names(scope):
         return True
     inner = [node for node in scope.body if isinstance(node, Definition) and node.name == names[0]]
     return any(_defines(node, names[1:]) for node in inner)
 
 
-def _plain_names(scope: ast.Module | Definition) -> set[str]:
-    """The variables, fields and imported names of a scope; of a class also the attributes that it sets."""
-    names = {name for node in scope.body for name in _names_of_statement(node)}
+def _find_variable_names(scope: ast.Module | Definition) -> set[str]:
+    """Return the variables and imported names of a scope; of a class also the attributes set on `self`."""
+    names = {name for node in scope.body for name in _find_bound_names(node)}
     if isinstance(scope, ast.ClassDef):
         names |= {
             node.attr
@@ -63,7 +63,7 @@
     return names
 
 
-def _names_of_statement(node: ast.stmt) -> Iterable[str]:
+def _find_bound_names(node: ast.stmt) -> Iterable[str]:
     if isinstance(node, ast.ImportFrom):
         return [alias.asname or alias.name for alias in node.names]
     if isinstance(node, ast.Assign):
--- a/tests/support/imports.py
+++ b/tests/support/imports.py
@@ -1,4 +1,4 @@
-"""The imports of the Python files in a tree, read from their text: nothing is run."""
+"""Find the imports of the Python files in a tree by parsing them; no module is executed."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 
 ImportGraph = Mapping[str, set[str]]
 
-# What the decision module may use of the standard library: nothing that reads a clock, file or environment.
+# Standard modules that the decision module may import: none that reads a clock, a file or the environment.
 DECISIONS_STANDARD_LIBRARY = {
     "__future__",
     "array",
@@ -24,47 +24,47 @@
 }
 
 
-def module_name(root: Path, path: Path) -> str:
-    """The dotted name of the module in `path`, as imported from `root`."""
+def get_module_name(root: Path, path: Path) -> str:
+    """Return the dotted name of the module in `path`, as imported from `root`."""
     parts = path.relative_to(root).with_suffix("").parts
     return ".".join(parts[:-1] if parts[-1] == "__init__" else parts)
 
 
 def find_modules(root: Path, package: str) -> dict[str, Path]:
-    """All modules of a package below `root`, by name."""
-    return {module_name(root, path): path for path in sorted((root / package).rglob("*.py"))}
+    """Return the files of all modules of a package below `root`, by module name."""
+    return {get_module_name(root, path): path for path in sorted((root / package).rglob("*.py"))}
 
 
-def import_graph(root: Path, *packages: str) -> dict[str, set[str]]:
-    """What each module of the packages imports: anywhere in it, also in functions or for type checks only."""
+def build_import_graph(root: Path, *packages: str) -> dict[str, set[str]]:
+    """Return what each module of the packages imports, including imports in functions and for type checks."""
     modules = {name: path for package in packages for name, path in find_modules(root, package).items()}
-    return {name: set(_imports(name, path, modules)) for name, path in modules.items()}
+    return {name: set(_find_imports(name, path, modules)) for name, path in modules.items()}
 
 
-def _imports(name: str, path: Path, modules: Mapping[str, Path]) -> Iterator[str]:
+def _find_imports(name: str, path: Path, modules: Mapping[str, Path]) -> Iterator[str]:
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
             yield from (alias.name for alias in node.names)
         elif isinstance(node, ast.ImportFrom):
-            source = _source(node, name, is_package=path.name == "__init__.py")
+            source = _resolve_source(node, name, is_package=path.name == "__init__.py")
             for alias in node.names:
-                # `from package import x` imports the module package.x, or else a name in package.
+                # `from package import x` imports the module package.x if it exists, else a name of package.
                 submodule = f"{source}.{alias.name}"
                 yield submodule if submodule in modules else source
 
 
-def _source(node: ast.ImportFrom, importer: str, is_package: bool) -> str:
-    """The absolute name of the module that an import names, which may be relative to the importer."""
+def _resolve_source(node: ast.ImportFrom, importer: str, is_package: bool) -> str:
+    """Return the absolute name of the module in a `from` clause, which may be relative to the importer."""
     if not node.level:
         return node.module or ""
-    steps_up = node.level - 1 if is_package else node.level
-    base = importer.split(".")[: len(importer.split(".")) - steps_up]
+    levels_up = node.level - 1 if is_package else node.level
+    base = importer.split(".")[: len(importer.split(".")) - levels_up]
     return ".".join([*base, node.module] if node.module else base)
 
 
 def find_cycles(graph: ImportGraph) -> list[list[str]]:
-    """The groups of modules that import each other, directly or through others; sorted, each group too."""
-    reachable = {name: _reachable(graph, name) for name in graph}
+    """Return the sorted groups of modules that import each other, directly or indirectly."""
+    reachable = {name: _find_reachable(graph, name) for name in graph}
     groups = {
         tuple(sorted(other for other in reachable[name] if name in reachable.get(other, ())))
         for name in graph
@@ -73,8 +73,8 @@
     return [list(group) for group in sorted(groups)]
 
 
-def _reachable(graph: ImportGraph, start: str) -> set[str]:
-    """All modules that `start` imports, directly or through others; itself only if it is in a cycle."""
+def _find_reachable(graph: ImportGraph, start: str) -> set[str]:
+    """Return all modules that `start` imports, directly or indirectly; itself only if it is in a cycle."""
     found: set[str] = set()
     pending = [start]
     while pending:
--- a/tests/support/paths.py
+++ b/tests/support/paths.py
@@ -1,4 +1,4 @@
-"""Where the checkout under test is."""
+"""The root directory of the checkout under test."""
 
 from __future__ import annotations
 
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -1,7 +1,8 @@
-"""The pages name files, functions, classes, tests and log lines that exist.
+"""Tests that the files, functions, classes, tests and log lines cited in the documentation exist.
 
-Checked are the code spans, those in `backticks`, of all pages but docs/CAPACITY.md, which the scale tool
-writes and `tests/scale` checks.  docs/architecture.md may leave out `ingress.` in front of a dotted name.
+The tests check the code spans, i.e. the text in `backticks`, of all pages except docs/CAPACITY.md, which the
+scale tool generates and `tests/scale` checks.  docs/architecture.md may omit `ingress.` at the start of a
+dotted name.
 """
 
 from __future__ import annotations
@@ -24,22 +25,22 @@
 ]
 ARCHITECTURE = ROOT / "docs" / "architecture.md"
 CROSSINGS = ROOT / "docs" / "crossings.md"
-ABSENT = re.compile(r"KNOWN-RED\.txt|found/|\.venv(-ci)?/.*")  # named, though a checkout need not hold it
+OPTIONAL_PATH = re.compile(r"KNOWN-RED\.txt|found/|\.venv(-ci)?/.*")  # cited, but not part of every checkout
 
 PATH = re.compile(r"[\w.-]+(/[\w.-]+)+/?|[\w.-]+/|[\w-]+\.(py|md|toml|txt|json)")
-DOTTED = re.compile(r"[a-z_]+(\.\w+)+")
+DOTTED_NAME = re.compile(r"[a-z_]+(\.\w+)+")
 CLASS_OR_MEMBER = re.compile(r"[A-Z][a-z]\w*(\.\w+)*")
-CONSTANT = re.compile(r"(?!EDGE_CONFIG)[A-Z][A-Z0-9]*(_[A-Z0-9]+)+")  # that one is of the environment
+CONSTANT = re.compile(r"(?!EDGE_CONFIG)[A-Z][A-Z0-9]*(_[A-Z0-9]+)+")  # EDGE_CONFIG is an environment variable
 TEST_NAME = re.compile(r"(?P<name>[a-z0-9]+(_[a-z0-9]+){2,})(?P<cut>\.\.\.)?(\[[^\]]*\])?")
 LOG_ROW = re.compile(r"\| (?P<symptom>[^|]+) \| (?P<log>[^|]*`[^|]+) \| (?P<place>[^|]+) \|")
-ELLIPSIS = "…"  # stands in a log line for what differs
+ELLIPSIS = "…"  # stands for the variable parts of a log line
 LOG_METHODS = {"debug", "info", "warning", "error", "exception", "critical"}
-FIRST_FIELD = re.compile(r"\w+=%|%")  # ends the fixed words of a log line
+FIRST_FIELD = re.compile(r"\w+=%|%")  # end of the constant words of a log line
 
 
 @dataclass(frozen=True, slots=True)
 class Span:
-    """A code span of a page, and where it stands."""
+    """A code span of a page, and its position."""
 
     page: str
     line: int
@@ -49,8 +50,8 @@
         return f"{self.page}:{self.line}: {self.text}"
 
 
-def spans(page: Path) -> Iterator[Span]:
-    """The code spans of a page, without its code blocks."""
+def find_spans(page: Path) -> Iterator[Span]:
+    """Yield the code spans of a page; skip code blocks."""
     inside_block = False
     for number, line in enumerate(page.read_text(encoding="utf-8").splitlines(), 1):
         if line.lstrip().startswith("```"):
@@ -60,7 +61,7 @@
                 yield Span(page.relative_to(ROOT).as_posix(), number, text)
 
 
-def name_of(page: Path) -> str:
+def get_page_name(page: Path) -> str:
     return page.name
 
 
@@ -69,9 +70,13 @@
     return Definitions(ROOT, "ingress")
 
 
-@pytest.mark.parametrize("page", PAGES, ids=name_of)
-def test_the_paths_of_a_page_exist(page: Path) -> None:
-    paths = [span for span in spans(page) if PATH.fullmatch(span.text) and not ABSENT.fullmatch(span.text)]
+@pytest.mark.parametrize("page", PAGES, ids=get_page_name)
+def test_paths_cited_on_a_page_exist(page: Path) -> None:
+    paths = [
+        span
+        for span in find_spans(page)
+        if PATH.fullmatch(span.text) and not OPTIONAL_PATH.fullmatch(span.text)
+    ]
     missing = [
         str(span)
         for span in paths
@@ -80,46 +85,52 @@
     assert missing == []
 
 
-@pytest.mark.parametrize("page", PAGES, ids=name_of)
-def test_the_dotted_names_of_a_page_exist(page: Path, definitions: Definitions) -> None:
-    known = {"ingress", *definitions.parts}
+@pytest.mark.parametrize("page", PAGES, ids=get_page_name)
+def test_dotted_names_cited_on_a_page_exist(page: Path, definitions: Definitions) -> None:
+    first_names = {"ingress", *definitions.part_names}
     dotted = [
         span
-        for span in spans(page)
-        if DOTTED.fullmatch(span.text) and not PATH.fullmatch(span.text) and span.text.split(".")[0] in known
+        for span in find_spans(page)
+        if DOTTED_NAME.fullmatch(span.text)
+        and not PATH.fullmatch(span.text)
+        and span.text.split(".")[0] in first_names
     ]
-    assert [str(span) for span in dotted if not definitions.has(span.text)] == []
+    assert [str(span) for span in dotted if not definitions.has_dotted_name(span.text)] == []
 
 
-@pytest.mark.parametrize("page", PAGES, ids=name_of)
-def test_the_classes_and_constants_of_a_page_exist(page: Path, definitions: Definitions) -> None:
+@pytest.mark.parametrize("page", PAGES, ids=get_page_name)
+def test_classes_and_constants_cited_on_a_page_exist(page: Path, definitions: Definitions) -> None:
     named = [
-        span for span in spans(page) if CLASS_OR_MEMBER.fullmatch(span.text) or CONSTANT.fullmatch(span.text)
+        span
+        for span in find_spans(page)
+        if CLASS_OR_MEMBER.fullmatch(span.text) or CONSTANT.fullmatch(span.text)
     ]
-    assert [str(span) for span in named if not definitions.has_member(span.text)] == []
+    assert [str(span) for span in named if not definitions.has_name_in_any_module(span.text)] == []
 
 
-def test_the_tests_named_by_the_page_on_crossings_exist() -> None:
-    functions = {
+def test_tests_cited_on_the_crossings_page_exist() -> None:
+    test_names = {
         node.name
         for path in (ROOT / "tests").rglob("test_*.py")
         for node in ast.walk(ast.parse(path.read_text(encoding="utf-8")))
         if isinstance(node, ast.FunctionDef | ast.AsyncFunctionDef)
     }
     missing = []
-    for span in spans(CROSSINGS):
+    for span in find_spans(CROSSINGS):
         match = TEST_NAME.fullmatch(span.text)
         if match is None:
             continue
         name = f"test_{match['name']}"
         if not (
-            any(function.startswith(name) for function in functions) if match["cut"] else name in functions
+            any(test_name.startswith(name) for test_name in test_names)
+            if match["cut"]
+            else name in test_names
         ):
             missing.append(str(span))
     assert missing == []
 
 
-def test_the_log_lines_of_the_page_on_architecture_exist() -> None:
+def test_log_lines_cited_on_the_architecture_page_exist() -> None:
     _, _, section = ARCHITECTURE.read_text(encoding="utf-8").partition("## Where to look when")
     rows = list(LOG_ROW.finditer(section))
     assert len(rows) > 5
@@ -133,8 +144,8 @@
     assert missing == []
 
 
-def log_lines(path: Path) -> Iterator[str]:
-    """The fixed words at the start of each line that a module logs."""
+def find_log_messages(path: Path) -> Iterator[str]:
+    """Yield the constant words at the start of each log message of a module."""
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if not isinstance(node, ast.Call) or not isinstance(node.func, ast.Attribute) or not node.args:
             continue
@@ -147,8 +158,10 @@
             yield FIRST_FIELD.split(message.value)[0].strip()
 
 
-def test_the_page_on_architecture_has_every_log_line() -> None:
+def test_architecture_page_cites_every_log_line() -> None:
     _, _, section = ARCHITECTURE.read_text(encoding="utf-8").partition("## Where to look when")
-    logged = {line for path in sorted((ROOT / "ingress").rglob("*.py")) for line in log_lines(path) if line}
+    logged = {
+        line for path in sorted((ROOT / "ingress").rglob("*.py")) for line in find_log_messages(path) if line
+    }
     assert len(logged) > 10
     assert sorted(line for line in logged if f"`{line}" not in section) == []
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""The program's own errors are one hierarchy."""
+"""Tests of the exception classes that the program defines."""
 
 from __future__ import annotations
 
@@ -10,21 +10,25 @@
 from ingress.errors import IngressError
 
 
-def error_classes() -> set[type[Exception]]:
+def find_error_classes() -> set[type[Exception]]:
     """Return the exception classes that the modules of the program define."""
-    found = set()
-    for info in pkgutil.walk_packages(ingress.__path__, "ingress."):
-        if info.name.endswith(".__main__"):
-            continue  # its import runs the program
-        module = importlib.import_module(info.name)
-        for _, each in inspect.getmembers(module, inspect.isclass):
-            if issubclass(each, Exception) and each.__module__ == info.name:
-                found.add(each)
-    return found
+    classes = set()
+    for module_info in pkgutil.walk_packages(ingress.__path__, "ingress."):
+        if module_info.name.endswith(".__main__"):
+            continue  # importing it would run the program
+        module = importlib.import_module(module_info.name)
+        for _, error_class in inspect.getmembers(module, inspect.isclass):
+            if issubclass(error_class, Exception) and error_class.__module__ == module_info.name:
+                classes.add(error_class)
+    return classes
 
 
-def test_all_errors_have_one_base_and_the_suffix_error() -> None:
-    classes = error_classes()
+def test_all_error_classes_share_a_base_class_and_a_name_suffix() -> None:
+    classes = find_error_classes()
     assert len(classes) > 5
-    assert {each.__name__ for each in classes if not issubclass(each, IngressError)} == set()
-    assert {each.__name__ for each in classes if not each.__name__.endswith("Error")} == set()
+    assert {
+        error_class.__name__ for error_class in classes if not issubclass(error_class, IngressError)
+    } == set()
+    assert {
+        error_class.__name__ for error_class in classes if not error_class.__name__.endswith("Error")
+    } == set()
--- a/tests/test_event_queue.py
+++ b/tests/test_event_queue.py
@@ -1,4 +1,4 @@
-"""The queue of the decision module's events."""
+"""Tests of the queue that passes events to the decision module."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
 THIRD = TimerFired(3)
 
 
-def test_an_event_that_arises_during_another_waits_for_its_end() -> None:
+def test_event_fed_by_the_handler_waits_until_the_handler_returns() -> None:
     steps: list[tuple[str, Event]] = []
 
     def handle(event: Event) -> None:
@@ -27,7 +27,7 @@
     assert steps == [(step, event) for event in (FIRST, SECOND, THIRD) for step in ("begin", "end")]
 
 
-def test_after_an_exception_the_events_behind_are_handled_with_the_next() -> None:
+def test_events_queued_behind_an_exception_are_handled_by_the_next_call() -> None:
     handled: list[Event] = []
 
     def handle(event: Event) -> None:
--- a/tests/test_gossip_codec.py
+++ b/tests/test_gossip_codec.py
@@ -1,4 +1,4 @@
-"""The text of the reports between gateways."""
+"""Tests of the encoding of gossip messages."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ingress.gossip_codec import MAX_TEXT_BYTES, UseReport, format_report, parse_report
 
 
-def test_report_is_read_as_it_was_written() -> None:
+def test_parsing_a_formatted_report_returns_its_content() -> None:
     totals = ((0x5BE2A07C, 4.0), (0x1F03AA5C, 12.5))
     report = format_report(1733115600123, totals)
     assert report == ("1733115600123 5be2a07c:40 1f03aa5c:125", 2)
@@ -24,5 +24,5 @@
 
 
 @pytest.mark.parametrize("text", ["", "x", "1 zz", "1 a:b:c", "1 a:", "1 " + "f" * 250])
-def test_malformed_text_is_no_report(text: str) -> None:
+def test_malformed_report_is_parsed_as_none(text: str) -> None:
     assert parse_report(text) is None
--- a/tests/test_import_contract.py
+++ b/tests/test_import_contract.py
@@ -1,6 +1,6 @@
-"""Which part of the program may import which; docs/architecture.md gives the reasons.
+"""Tests of which part of the program may import which; docs/architecture.md gives the reasons.
 
-A part is a package or module directly below `ingress`.  A new one needs a line in `ALLOWED`.
+A part is a package or module directly below `ingress`.  A new part needs an entry in `ALLOWED_IMPORTS`.
 """
 
 from __future__ import annotations
@@ -11,17 +11,17 @@
 
 import pytest
 
-from tests.support.imports import DECISIONS_STANDARD_LIBRARY, find_cycles, import_graph
+from tests.support.imports import DECISIONS_STANDARD_LIBRARY, build_import_graph, find_cycles
 
 ROOT = Path(__file__).resolve().parent.parent
 ARCHITECTURE = ROOT / "docs" / "architecture.md"
-ROW = re.compile(
+CONTRACT_ROW = re.compile(
     r"^\| `ingress/(?P<part>\w+)(?:/|\.py)` \| [^|]+ \| (?P<allowed>[^|]+) \| [^|]+ \|$", re.MULTILINE
 )
-GRAPH = import_graph(ROOT, "ingress", "scale")
+IMPORT_GRAPH = build_import_graph(ROOT, "ingress", "scale")
 
-# Of each part: the other parts that it may import.
-ALLOWED: dict[str, set[str]] = {
+# Map from each part to the other parts that it may import.
+ALLOWED_IMPORTS: dict[str, set[str]] = {
     "errors": set(),
     "interface": set(),
     "gossip_codec": set(),
@@ -50,67 +50,70 @@
 }
 
 
-def part_of(module: str) -> str:
-    """The part of the program that a module of `ingress` belongs to; empty for `ingress` itself."""
+def get_part(module: str) -> str:
+    """Return the part of the program to which a module of `ingress` belongs; empty for `ingress` itself."""
     return module.partition(".")[2].partition(".")[0]
 
 
-def modules_of(part: str) -> list[str]:
-    return [name for name in GRAPH if name.startswith("ingress.") and part_of(name) == part]
+def list_modules(part: str) -> list[str]:
+    return [name for name in IMPORT_GRAPH if name.startswith("ingress.") and get_part(name) == part]
 
 
-def imported_parts(part: str) -> set[str]:
-    """The other parts that a part imports."""
-    imported = {name for module in modules_of(part) for name in GRAPH[module]}
-    return {part_of(name) for name in imported if name.split(".")[0] == "ingress"} - {part}
+def find_imported_parts(part: str) -> set[str]:
+    """Return the other parts that a part imports."""
+    imported = {name for module in list_modules(part) for name in IMPORT_GRAPH[module]}
+    return {get_part(name) for name in imported if name.split(".")[0] == "ingress"} - {part}
 
 
-def test_the_contract_names_each_part_of_the_program() -> None:
-    parts = {part_of(name) for name in GRAPH if name.startswith("ingress.")}
-    assert parts == set(ALLOWED)
+def test_contract_lists_each_part_of_the_program() -> None:
+    parts = {get_part(name) for name in IMPORT_GRAPH if name.startswith("ingress.")}
+    assert parts == set(ALLOWED_IMPORTS)
 
 
-def test_the_page_on_architecture_gives_the_same_contract() -> None:
-    rows = ROW.finditer(ARCHITECTURE.read_text(encoding="utf-8"))
+def test_architecture_page_has_the_same_contract() -> None:
+    rows = CONTRACT_ROW.finditer(ARCHITECTURE.read_text(encoding="utf-8"))
     contract = {row["part"]: set(row["allowed"].split(", ")) - {"nothing"} for row in rows}
-    assert contract == ALLOWED
+    assert contract == ALLOWED_IMPORTS
 
 
-@pytest.mark.parametrize("part", sorted(ALLOWED))
-def test_a_part_imports_only_what_the_contract_allows(part: str) -> None:
-    assert imported_parts(part) <= ALLOWED[part]
+@pytest.mark.parametrize("part", sorted(ALLOWED_IMPORTS))
+def test_part_imports_only_what_the_contract_allows(part: str) -> None:
+    assert find_imported_parts(part) <= ALLOWED_IMPORTS[part]
 
 
-def test_the_decision_module_uses_little_of_the_standard_library() -> None:
-    imported = {name for module in modules_of("decisions") for name in GRAPH[module]}
+def test_decision_module_imports_only_the_allowed_standard_modules() -> None:
+    imported = {name for module in list_modules("decisions") for name in IMPORT_GRAPH[module]}
     assert {name for name in imported if name.split(".")[0] != "ingress"} <= DECISIONS_STANDARD_LIBRARY
 
 
-def test_the_interface_needs_nothing_but_the_standard_library() -> None:
-    imported = {name.split(".")[0] for module in modules_of("interface") for name in GRAPH[module]}
+def test_interface_imports_only_the_standard_library() -> None:
+    imported = {name.split(".")[0] for module in list_modules("interface") for name in IMPORT_GRAPH[module]}
     assert imported - {"ingress"} <= sys.stdlib_module_names
 
 
-def test_an_ingress_imports_neither_the_scale_tool_nor_the_tests() -> None:
+def test_ingress_imports_neither_the_scale_tool_nor_the_tests() -> None:
     imported = {
-        name.split(".")[0] for module in GRAPH if module.startswith("ingress") for name in GRAPH[module]
+        name.split(".")[0]
+        for module in IMPORT_GRAPH
+        if module.startswith("ingress")
+        for name in IMPORT_GRAPH[module]
     }
     assert not imported & {"scale", "tests"}
 
 
-def test_no_modules_import_each_other() -> None:
-    assert find_cycles(GRAPH) == []
+def test_there_are_no_import_cycles() -> None:
+    assert find_cycles(IMPORT_GRAPH) == []
 
 
-def write_package(root: Path, files: dict[str, str]) -> None:
+def write_files(root: Path, files: dict[str, str]) -> None:
     for name, text in files.items():
         path = root / name
         path.parent.mkdir(parents=True, exist_ok=True)
         path.write_text(text, encoding="utf-8")
 
 
-def test_imports_are_read_wherever_they_stand(tmp_path: Path) -> None:
-    write_package(
+def test_imports_are_found_anywhere_in_a_module(tmp_path: Path) -> None:
+    write_files(
         tmp_path,
         {
             "p/__init__.py": "from . import a\n",
@@ -120,7 +123,7 @@
             "p/c/d.py": "def f():\n    from ..a import y\n    from .. import b\n",
         },
     )
-    assert import_graph(tmp_path, "p") == {
+    assert build_import_graph(tmp_path, "p") == {
         "p": {"p.a"},
         "p.a": {"os.path", "p.b"},
         "p.b": {"p.c.d"},
@@ -129,7 +132,7 @@
     }
 
 
-def test_cycles_are_found_once_with_all_their_modules() -> None:
+def test_each_import_cycle_is_found_once_with_all_its_modules() -> None:
     graph = {"a": {"b"}, "b": {"c"}, "c": {"a", "d"}, "d": {"e"}, "e": {"d"}, "f": {"a"}, "g": {"g"}}
     assert find_cycles(graph) == [["a", "b", "c"], ["d", "e"], ["g"]]
     assert find_cycles({"a": {"b", "c"}, "b": {"c"}, "c": {"outside"}}) == []
--- a/tests/test_known_red.py
+++ b/tests/test_known_red.py
@@ -1,4 +1,4 @@
-"""KNOWN-RED.txt: its form, and a run of pytest that passes over what it names and nothing else."""
+"""Tests of KNOWN-RED.txt: its syntax, and that pytest tolerates the failures it lists and no others."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
 
 
 def run_sample(folder: Path, known_red: str | None, sample: str = SAMPLE) -> subprocess.CompletedProcess[str]:
-    """A run of pytest with the plugin on a file of sample tests."""
+    """Run pytest with the plugin on a file of sample tests."""
     (folder / "pytest.ini").write_text("[pytest]\n", encoding="utf-8")
     (folder / "test_sample.py").write_text(sample, encoding="utf-8")
     if known_red is not None:
@@ -50,19 +50,19 @@
     )
 
 
-def test_the_file_of_this_project_is_well_formed() -> None:
+def test_file_of_this_project_is_well_formed() -> None:
     assert len(read_known_red(ROOT)) <= 3
 
 
 @pytest.mark.parametrize(
     "test_id", ["tests/a.py::test_b", "tests/a.py::TestA::test_b", "tests/a.py::test_b[c: d e]"]
 )
-def test_an_entry_is_read(test_id: str) -> None:
+def test_entry_is_parsed(test_id: str) -> None:
     failure = KnownFailure(test_id, "late: by 20 ms (measured)", "issue 7")
     assert parse_known_red(f"\n{failure}\n") == [failure]
 
 
-def test_no_file_and_an_empty_file_name_nothing(tmp_path: Path) -> None:
+def test_missing_and_empty_files_list_no_failures(tmp_path: Path) -> None:
     assert read_known_red(tmp_path) == []
     (tmp_path / "KNOWN-RED.txt").write_text("\n\n", encoding="utf-8")
     assert read_known_red(tmp_path) == []
@@ -80,49 +80,49 @@
         "tests/a.py::test_b a cause (issue 5)",
     ],
 )
-def test_a_malformed_line_is_an_error(line: str) -> None:
+def test_malformed_line_raises_an_error(line: str) -> None:
     with pytest.raises(KnownRedError, match="not of the form"):
         parse_known_red(line)
 
 
-def test_more_than_three_entries_are_an_error() -> None:
+def test_more_than_three_entries_raise_an_error() -> None:
     entries = [f"tests/a.py::test_{n}: a cause (issue {n})" for n in range(4)]
     assert len(parse_known_red("\n".join(entries[:3]))) == 3
     with pytest.raises(KnownRedError, match="4 tests, 3 are allowed"):
         parse_known_red("\n".join(entries))
 
 
-def test_a_run_passes_over_what_is_named_and_prints_it(tmp_path: Path) -> None:
-    done = run_sample(tmp_path, f"{ENTRY}\ntest_sample.py::test_red_too[a: b]: a cause (issue 6)\n")
-    assert done.returncode == 0, done.stdout
-    assert "2 passed, 2 xfailed" in done.stdout
-    assert ENTRY in done.stdout
+def test_listed_failures_are_tolerated_and_printed(tmp_path: Path) -> None:
+    result = run_sample(tmp_path, f"{ENTRY}\ntest_sample.py::test_red_too[a: b]: a cause (issue 6)\n")
+    assert result.returncode == 0, result.stdout
+    assert "2 passed, 2 xfailed" in result.stdout
+    assert ENTRY in result.stdout
 
 
-def test_a_run_fails_on_what_is_not_named(tmp_path: Path) -> None:
-    done = run_sample(tmp_path, ENTRY)
-    assert done.returncode == 1
-    assert "1 failed, 2 passed, 1 xfailed" in done.stdout
-    assert "FAILED test_sample.py::test_red_too[a: b]" in done.stdout
+def test_unlisted_failure_fails_the_run(tmp_path: Path) -> None:
+    result = run_sample(tmp_path, ENTRY)
+    assert result.returncode == 1
+    assert "1 failed, 2 passed, 1 xfailed" in result.stdout
+    assert "FAILED test_sample.py::test_red_too[a: b]" in result.stdout
 
 
-def test_a_named_test_that_passes_fails_nothing(tmp_path: Path) -> None:
-    done = run_sample(tmp_path, "test_sample.py::test_green: flaky (issue 5)", "def test_green(): pass\n")
-    assert done.returncode == 0
-    assert "1 xpassed" in done.stdout
+def test_listed_test_that_passes_does_not_fail_the_run(tmp_path: Path) -> None:
+    result = run_sample(tmp_path, "test_sample.py::test_green: flaky (issue 5)", "def test_green(): pass\n")
+    assert result.returncode == 0
+    assert "1 xpassed" in result.stdout
 
 
-def test_without_a_file_nothing_is_passed_over(tmp_path: Path) -> None:
-    done = run_sample(tmp_path, None)
-    assert done.returncode == 1
-    assert "2 failed, 2 passed" in done.stdout
+def test_no_failure_is_tolerated_without_a_file(tmp_path: Path) -> None:
+    result = run_sample(tmp_path, None)
+    assert result.returncode == 1
+    assert "2 failed, 2 passed" in result.stdout
 
 
 @pytest.mark.parametrize(
     ("known_red", "reason"),
     [("test_red", "not of the form"), ("test_sample.py::test_gone: a cause (issue 5)", "no such test")],
 )
-def test_a_run_refuses_a_file_that_it_cannot_use(tmp_path: Path, known_red: str, reason: str) -> None:
-    done = run_sample(tmp_path, known_red)
-    assert done.returncode == pytest.ExitCode.USAGE_ERROR
-    assert reason in done.stderr
+def test_run_stops_on_an_invalid_file(tmp_path: Path, known_red: str, reason: str) -> None:
+    result = run_sample(tmp_path, known_red)
+    assert result.returncode == pytest.ExitCode.USAGE_ERROR
+    assert reason in result.stderr
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""The README's example runs as printed."""
+"""Test that the example in README.md runs."""
 
 from __future__ import annotations
 
@@ -8,9 +8,9 @@
 README = Path(__file__).resolve().parent.parent / "README.md"
 
 
-def test_the_example_runs() -> None:
-    blocks = re.findall(r"```python\n(.*?)```", README.read_text(encoding="utf-8"), re.DOTALL)
-    assert len(blocks) == 1
-    names: dict[str, object] = {}
-    exec(compile(blocks[0], str(README), "exec"), names)
-    assert names["actions"]
+def test_readme_example_runs() -> None:
+    code_blocks = re.findall(r"```python\n(.*?)```", README.read_text(encoding="utf-8"), re.DOTALL)
+    assert len(code_blocks) == 1
+    namespace: dict[str, object] = {}
+    exec(compile(code_blocks[0], str(README), "exec"), namespace)
+    assert namespace["actions"]
--- a/tests/test_settings_codec.py
+++ b/tests/test_settings_codec.py
@@ -1,4 +1,4 @@
-"""The settings decoded from their wire names."""
+"""Tests of the decoding of settings."""
 
 from __future__ import annotations
 
@@ -22,7 +22,7 @@
 }
 
 
-def test_what_is_not_given_has_the_defaults_of_the_interface() -> None:
+def test_missing_optional_keys_have_the_defaults_of_the_interface() -> None:
     assert decode_settings(MINIMAL) == api.Settings(
         classes=(api.RequestClass("read", 1.0, 4.0, 2.0),),
         plans=(api.Plan("basic", 2.0, 8.0),),
@@ -31,7 +31,7 @@
     )
 
 
-def test_the_fields_of_a_class() -> None:
+def test_all_fields_of_a_request_class_are_decoded() -> None:
     row = CLASS | {
         "semantics": "keyed",
         "late-worth": 0.5,
@@ -56,7 +56,7 @@
     )
 
 
-def test_the_fields_of_a_plan() -> None:
+def test_all_fields_of_a_plan_are_decoded() -> None:
     row = PLAN | {
         "at-once": 3,
         "worth-factor": 1.5,
@@ -82,7 +82,7 @@
     )
 
 
-def test_the_limits_and_rules_of_the_fleet() -> None:
+def test_all_other_settings_are_decoded() -> None:
     env = MINIMAL | {
         "zone": "a",
         "tick-s": 0.002,
@@ -113,10 +113,10 @@
             "most-units": 8,
         },
     }
-    found = decode_settings(env)
-    assert found == api.Settings(
-        classes=found.classes,
-        plans=found.plans,
+    settings = decode_settings(env)
+    assert settings == api.Settings(
+        classes=settings.classes,
+        plans=settings.plans,
         instance_index=1,
         instance_count=2,
         zone="a",
@@ -145,6 +145,6 @@
 
 
 @pytest.mark.parametrize("key", list(MINIMAL))
-def test_a_missing_key_is_named(key: str) -> None:
+def test_missing_required_key_is_named_in_the_error(key: str) -> None:
     with pytest.raises(KeyError, match=key):
         decode_settings({name: value for name, value in MINIMAL.items() if name != key})
