--- a/tests/support/balancer.py
+++ b/tests/support/balancer.py
@@ -1,4 +1,4 @@
-"""Shared helpers of the balancer's tests: settings without a quota, fleets, and rounds of requests."""
+"""Helpers for tests of load balancing: settings with an ample quota, backends, and requests."""
 
 from __future__ import annotations
 
@@ -14,32 +14,35 @@
 
 
 def backends(count: int) -> tuple[Backend, ...]:
-    """Backends b0, b1 and so on, spread over three zones."""
+    """Return `count` backends named b0, b1, ..., spread over three zones."""
     return tuple(Backend(f"b{n}", zone=ZONES[n % 3]) for n in range(count))
 
 
-def answer_rounds(play: Play, dead: Callable[[str], bool], rounds: int) -> list[str]:
-    """Sends requests one by one; connections to dead backends fail.  Returns the backends that answered."""
-    answered = []
-    for _ in range(rounds):
-        attempt = 0
-        actions = play.ask(0.05)
-        while sent := sends(actions):
-            [send] = sent
-            if not dead(send.backend):
-                answered.append(send.backend)
-                play.end(send, Outcome.OK, 0.01, attempt)
+def answer_rounds(harness: Play, is_dead: Callable[[str], bool], request_count: int) -> list[str]:
+    """Deliver requests one by one, and return the backends that answered them.
+
+    An attempt on a dead backend fails to connect; the other backends answer.
+    """
+    answering_backends = []
+    for _ in range(request_count):
+        attempt_number = 0
+        actions = harness.ask(0.05)
+        while attempts := sends(actions):
+            [attempt] = attempts
+            if not is_dead(attempt.backend):
+                answering_backends.append(attempt.backend)
+                harness.end(attempt, Outcome.OK, 0.01, attempt_number)
                 break
-            actions = play.end(send, Outcome.CONNECT_FAILED, 0.001, attempt)
-            attempt += 1
-    return answered
-
-
-def answer_all(play: Play, latency: float, rounds: int = 200) -> dict[str, int]:
-    """Sends requests one by one, each answered after `latency` s; returns how many each backend got."""
-    received: dict[str, int] = {}
-    for _ in range(rounds):
-        for sent in sends(play.ask(0.01)):
-            received[sent.backend] = received.get(sent.backend, 0) + 1
-            play.end(sent, Outcome.OK, latency)
-    return received
+            actions = harness.end(attempt, Outcome.CONNECT_FAILED, 0.001, attempt_number)
+            attempt_number += 1
+    return answering_backends
+
+
+def answer_all(harness: Play, latency_s: float, request_count: int = 200) -> dict[str, int]:
+    """Deliver requests one by one, answer each after `latency_s`, and count the attempts by backend."""
+    counts: dict[str, int] = {}
+    for _ in range(request_count):
+        for attempt in sends(harness.ask(0.01)):
+            counts[attempt.backend] = counts.get(attempt.backend, 0) + 1
+            harness.end(attempt, Outcome.OK, latency_s)
+    return counts
--- a/tests/support/counter.py
+++ b/tests/support/counter.py
@@ -1,4 +1,4 @@
-"""A client of the counter under test, and a scripted counter."""
+"""A client of the shared counter for tests, and a scripted counter."""
 
 from __future__ import annotations
 
@@ -9,32 +9,32 @@
 
 
 class ClientUnderTest:
-    """A counter's client, and the replies that it has reported."""
+    """A client of the shared counter, and the replies that it has reported."""
 
     def __init__(self, address: Address, timeout_s: float = 5.0) -> None:
         self.replies: list[CounterReply] = []
         self.client = CounterClient(address, timeout_s, unix_clock(), self.replies.append)
 
-    def add(self, name: int = 7, amount: float = 1.0, lifetime_s: float = 60.0) -> None:
-        """Start a call."""
-        self.client.increment(name, amount, lifetime_s)
+    def add(self, count_name: int = 7, amount: float = 1.0, lifetime_s: float = 60.0) -> None:
+        """Start a call to the counter; do not wait for its reply."""
+        self.client.increment(count_name, amount, lifetime_s)
 
-    async def reply(self, count: int = 1) -> tuple[int, Outcome, float]:
-        """Wait for as many replies; return the name, outcome and total of the last of them."""
-        await until(lambda: len(self.replies) >= count)
-        last = self.replies[count - 1]
-        return last.name, last.outcome, last.total
+    async def reply(self, reply_count: int = 1) -> tuple[int, Outcome, float]:
+        """Wait for `reply_count` replies in all; return the name, outcome and total of the last of them."""
+        await until(lambda: len(self.replies) >= reply_count)
+        last_reply = self.replies[reply_count - 1]
+        return last_reply.name, last_reply.outcome, last_reply.total
 
 
-def scripted_counter(*answers: bytes) -> Peer:
-    """Return a counter that answers the calls in turn, then falls silent."""
+def scripted_counter(*encoded_replies: bytes) -> Peer:
+    """Return a counter that sends one of the replies to each call, in order, and none to further calls."""
 
-    async def script(_: int, reader: Reader, writer: Writer) -> None:
-        for answer in answers:
-            peer.commands.append([await reader.readline()])
-            writer.write(answer)
+    async def serve_connection(_: int, reader: Reader, writer: Writer) -> None:
+        for encoded_reply in encoded_replies:
+            server.commands.append([await reader.readline()])
+            writer.write(encoded_reply)
         while line := await reader.readline():
-            peer.commands.append([line])
+            server.commands.append([line])
 
-    peer = Peer(script)
-    return peer
+    server = Peer(serve_connection)
+    return server
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -1,4 +1,4 @@
-"""Discovery agents that follow a script, and watches on them."""
+"""Scripted discovery agents, bodies of their responses, and a running endpoint watch."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 LOCAL_ADDRESS = ("127.0.0.1", 6379)
 REJECTION = b"503"
 
-# Changes to an entry of an endpoint list that each make it unusable.
+# Changes to an entry of an endpoint list, each of which makes the entry invalid.
 MALFORMED_ENTRY_FIELDS: list[dict[str, Any]] = [
     {"addr": "nowhere"},
     {"addr": "127.0.0.1:99999"},
@@ -51,45 +51,46 @@
 ]
 
 
-def list_body(version: int, full: bool, *rows: dict[str, Any]) -> bytes:
-    """The body of an answer with these entries."""
-    return json.dumps({"version": version, "full": full, "servers": rows}).encode()
+def list_body(version: int, full: bool, *entries: dict[str, Any]) -> bytes:
+    """Return the body of a response with these entries."""
+    return json.dumps({"version": version, "full": full, "servers": entries}).encode()
 
 
 def http_answer(body: bytes, status: bytes = b"200 OK", headers: bytes = b"") -> bytes:
-    """A whole HTTP response; `headers` are lines that end with CRLF."""
+    """Return a complete HTTP response; `headers` are additional lines that end with CRLF."""
     return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), headers, body)
 
 
 class ScriptedAgent:
-    """Gives one answer after another, then none.
+    """A discovery agent that sends the given bodies in order, one per call, then does not respond.
 
-    None leaves a call unanswered, b"" closes the connection, REJECTION answers with status 503.
+    Instead of a body, None leaves the call without a response, b"" closes the connection, and REJECTION
+    responds with status 503.
     """
 
-    def __init__(self, *answers: bytes | None) -> None:
-        self.answers = list(answers)
-        self.asked: list[str] = []  # targets of the calls so far
+    def __init__(self, *bodies: bytes | None) -> None:
+        self.pending_bodies = list(bodies)
+        self.asked: list[str] = []  # request targets of the calls so far
         self.at: list[float] = []  # times of the calls so far, on the monotonic clock
-        self.peer = Peer(self.script)
+        self.peer = Peer(self.serve_connection)
 
-    async def script(self, _: int, reader: Reader, writer: Writer) -> None:
-        """Serve one connection."""
+    async def serve_connection(self, _: int, reader: Reader, writer: Writer) -> None:
+        """Respond to the calls on one connection."""
         while head := await reader.readuntil(b"\r\n\r\n"):
             self.asked.append(head.split(b" ")[1].decode())
             self.at.append(time.monotonic())
-            answer = self.answers.pop(0) if self.answers else None
-            if answer == b"":
+            body = self.pending_bodies.pop(0) if self.pending_bodies else None
+            if body == b"":
                 return
-            if answer == REJECTION:
+            if body == REJECTION:
                 writer.write(http_answer(b"", b"503 Service Unavailable"))
-            elif answer is not None:
-                writer.write(http_answer(answer, headers=b"Content-Type: application/json\r\n"))
+            elif body is not None:
+                writer.write(http_answer(body, headers=b"Content-Type: application/json\r\n"))
 
 
 @asynccontextmanager
 async def running_watch(watch: EndpointWatch) -> AsyncIterator[asyncio.Task[None]]:
-    """Run a watch until the end of the context."""
+    """Run a watch in a task until the end of the context; yield the task."""
     task = asyncio.create_task(watch.run())
     try:
         yield task
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -1,4 +1,4 @@
-"""Shared helpers: a small deployment and a gateway to play events to."""
+"""Helpers for tests of the decision module: settings, backends, and a harness that drives a gateway."""
 
 from __future__ import annotations
 
@@ -49,51 +49,56 @@
 
 
 class Play:
-    """A gateway under test, with a clock and all its actions so far."""
+    """Harness that drives a gateway under test; it keeps the time and all actions so far."""
 
     def __init__(self, settings: Settings = SETTINGS, fleet: Iterable[Backend] = FLEET) -> None:
         self.now = 100.0
         self.gateway = Gateway(settings, 1)
-        self.count = 0  # requests so far; the latest one has the id `r<count>`
+        self.count = 0  # requests so far; the id of the last one is `r` and this number
         self.actions: list[Action] = []
         self.at(0.0, EndpointUpdate(EndpointUpdateKind.RESTORED, tuple(fleet)))
 
-    def at(self, after: float, event: Event) -> list[Action]:
-        """Hands an event over `after` seconds later; returns the actions that it brings."""
-        self.now += after
-        done = self.gateway.handle(self.now, event)
-        self.actions += done
-        return done
+    def at(self, delay_s: float, event: Event) -> list[Action]:
+        """Advance the time by `delay_s`, deliver an event, and return the actions that it causes."""
+        self.now += delay_s
+        new_actions = self.gateway.handle(self.now, event)
+        self.actions += new_actions
+        return new_actions
 
-    def ask(self, after: float = 0.0, **changes: Any) -> list[Action]:
-        """Hands a request over; `changes` replace its fields."""
+    def ask(self, delay_s: float = 0.0, **changes: Any) -> list[Action]:
+        """Deliver a request after `delay_s`; `changes` override its fields.  Return the actions."""
         self.count += 1
-        event = Request(f"r{self.count}", "read", "basic", "c", 4.0, assigned_instances=2)
-        return self.at(after, replace(event, **changes))
+        request = Request(f"r{self.count}", "read", "basic", "c", 4.0, assigned_instances=2)
+        return self.at(delay_s, replace(request, **changes))
 
     def end(
         self,
-        send: SendAttempt,
+        sent_attempt: SendAttempt,
         outcome: Outcome = Outcome.OK,
         after: float = 0.05,
         attempt: int = 0,
-        **more: Any,
+        **fields: Any,
     ) -> list[Action]:
-        """Ends an attempt `after` seconds later; a good answer finishes the request."""
-        more.setdefault("finished", outcome is Outcome.OK)
-        return self.at(after, AttemptEnded(send.id, attempt, send.backend, outcome, after, **more))
+        """End an attempt after a delay in seconds, which is also its latency; return the actions.
+
+        `fields` are further fields of the event; by default, a successful attempt finishes the request.
+        """
+        fields.setdefault("finished", outcome is Outcome.OK)
+        return self.at(
+            after, AttemptEnded(sent_attempt.id, attempt, sent_attempt.backend, outcome, after, **fields)
+        )
 
 
 def sends(actions: Iterable[Action]) -> list[SendAttempt]:
-    """The attempts among the actions."""
-    return [a for a in actions if isinstance(a, SendAttempt)]
+    """Return the attempts that the actions send."""
+    return [action for action in actions if isinstance(action, SendAttempt)]
 
 
 def finals(actions: Iterable[Action]) -> list[Action]:
-    """The final answers among the actions."""
-    return [a for a in actions if isinstance(a, Reject | Fail)]
+    """Return the final answers among the actions."""
+    return [action for action in actions if isinstance(action, Reject | Fail)]
 
 
 def scoped(deduplication_scope: DeduplicationScope) -> RequestClass:
-    """The class with idempotency keys, in the given scope."""
+    """Return the request class with idempotency keys, with the given deduplication scope."""
     return replace(KEYED, deduplication_scope=deduplication_scope)
--- a/tests/support/ingress.py
+++ b/tests/support/ingress.py
@@ -1,4 +1,4 @@
-"""The whole ingress in the test's own event loop, on real sockets, with a scripted decision module."""
+"""A complete ingress in the event loop of the test, on real sockets, and a scripted decision module."""
 
 from __future__ import annotations
 
@@ -13,68 +13,74 @@
 from ingress.process.ingress import Ingress
 from tests.support.peers import Address, until
 
-Plan: TypeAlias = Callable[[Any], list[api.Action]]
+ActionChooser: TypeAlias = Callable[[Any], list[api.Action]]
 
 
 @asynccontextmanager
 async def serving(config: Config) -> AsyncIterator[tuple[Ingress, Any]]:
-    """An ingress that runs, and the address where it listens; it is cancelled at the end."""
-    served = Ingress(config)
-    task = asyncio.create_task(served.run(asyncio.Event()))
-    await until(lambda: served.watch is not None)
+    """Run an ingress until the end of the context; yield it and the address that it listens on."""
+    ingress = Ingress(config)
+    task = asyncio.create_task(ingress.run(asyncio.Event()))
+    await until(lambda: ingress.watch is not None)
     try:
-        yield served, served.listener.sock.getsockname()
+        yield ingress, ingress.listener.sock.getsockname()
     finally:
         task.cancel()
         await asyncio.gather(task, return_exceptions=True)
-        served.listener.close()
-        served.pool.close()
+        ingress.listener.close()
+        ingress.pool.close()
 
 
 @asynccontextmanager
 async def serving_until_stopped(config: Config) -> AsyncIterator[tuple[Ingress, Address, asyncio.Event]]:
-    """An ingress that runs until the event is set; its graceful shutdown must end by itself."""
-    served = Ingress(config)
+    """Run an ingress; yield it, its address, and the event that stops it.
+
+    The context ends once the graceful shutdown is complete, so the test must set the event.
+    """
+    ingress = Ingress(config)
     stop = asyncio.Event()
-    task = asyncio.create_task(served.run(stop))
-    await until(lambda: served.watch is not None)
-    yield served, served.listener.sock.getsockname(), stop
+    task = asyncio.create_task(ingress.run(stop))
+    await until(lambda: ingress.watch is not None)
+    yield ingress, ingress.listener.sock.getsockname(), stop
     await task
 
 
-async def client_connections(served: Ingress, count: int) -> list[ClientConnection]:
-    """The client connections of the ingress, as soon as so many are up."""
-    await until(lambda: len([c for c in served.listener.connections if c.transport]) == count)
-    return list(served.listener.connections)
+async def client_connections(ingress: Ingress, count: int) -> list[ClientConnection]:
+    """Wait until the ingress has `count` open client connections; return them."""
+    await until(
+        lambda: len([connection for connection in ingress.listener.connections if connection.transport])
+        == count
+    )
+    return list(ingress.listener.connections)
 
 
 class ScriptedGateway:
-    """A decision module that returns the actions that `plan` gives for an event."""
+    """A decision module that returns the actions that `choose_actions` returns for an event."""
 
-    def __init__(self, plan: Plan | None) -> None:
-        self.plan = plan
+    def __init__(self, choose_actions: ActionChooser | None) -> None:
+        self.choose_actions = choose_actions
         self.events: list[api.Event] = []
         self.actions: list[api.Action] = []
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Records the event and returns its actions."""
+        """Record the event, and return its actions."""
         self.events.append(event)
         self.actions = []
-        self.actions += self.plan(event) if self.plan else []
+        self.actions += self.choose_actions(event) if self.choose_actions else []
         return self.actions
 
-    def events_of(self, kind: type) -> list[Any]:
-        """The events of one type, in their order."""
-        return [event for event in self.events if isinstance(event, kind)]
+    def events_of(self, event_type: type) -> list[Any]:
+        """Return the events of one type, in the order of their arrival."""
+        return [event for event in self.events if isinstance(event, event_type)]
 
 
-def script_gateway(served: Ingress, plan: Plan | None) -> ScriptedGateway:
-    """Replaces the decision module of the ingress."""
-    gateway = ScriptedGateway(plan)
-    served.gateway = gateway  # type: ignore[assignment]
+def script_gateway(ingress: Ingress, choose_actions: ActionChooser | None) -> ScriptedGateway:
+    """Replace the decision module of the ingress by a scripted one; return the new one."""
+    gateway = ScriptedGateway(choose_actions)
+    ingress.gateway = gateway  # type: ignore[assignment]
     return gateway
 
 
 def send_to_s1(event: api.Event) -> list[api.Action]:
-    """A plan that sends each request to backend s1, once."""
+    """Return an attempt on backend s1 for each request, and no actions for other events."""
     return [api.SendAttempt(event.id, "s1")] if isinstance(event, api.Request) else []
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -1,4 +1,4 @@
-"""Scripted peers on ephemeral loopback ports, and a configuration that leads to them."""
+"""Scripted servers on ephemeral loopback ports, clients, and configurations that refer to them."""
 
 from __future__ import annotations
 
@@ -14,7 +14,7 @@
 
 from ingress.process.configuration import Config, read_config
 
-TEST_TIMEOUT_S = 20.0  # after which a test counts as stuck
+TEST_TIMEOUT_S = 20.0  # a test that takes longer fails
 POLL_INTERVAL_S = 0.002
 Address = tuple[str, int]
 Reader = asyncio.StreamReader
@@ -22,14 +22,14 @@
 
 
 def run(body: Coroutine[Any, Any, None]) -> None:
-    """Runs the body of a test in an event loop of its own, for at most TEST_TIMEOUT_S."""
+    """Run the body of a test in a new event loop, for at most TEST_TIMEOUT_S."""
     uvloop.run(asyncio.wait_for(body, TEST_TIMEOUT_S))
 
 
 async def until(condition: Callable[[], object]) -> None:
-    """Waits until a condition holds.
+    """Wait until a condition holds.
 
-    It polls, since a condition may be any state of the code under test, which has no event for most.
+    The function polls the condition, because most state of the code under test has no event to wait for.
     """
     while True:
         if condition():
@@ -38,7 +38,7 @@
 
 
 class DelayedConnections:
-    """The running loop, but the connections that it makes come up only once `up` is set."""
+    """Wrapper of the running event loop that delays new connections until the test allows them."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
@@ -48,21 +48,21 @@
         return getattr(self.loop, name)
 
     async def sock_connect(self, sock: socket.socket, address: Address) -> None:
-        """Connects the socket once `up` is set."""
+        """Connect the socket once the test has set the event."""
         await self.up.wait()
         await self.loop.sock_connect(sock, address)
 
 
 class Peer:
-    """A server; `script` plays each of its connections, given the connection's number."""
+    """A server that runs `script` for each connection, with the number of the connection (from 0) first."""
 
     def __init__(self, script: Callable[[int, Reader, Writer], Awaitable[None]], port: int = 0) -> None:
         self.script = script
         self.port = port
-        self.connections = 0  # accepted so far
-        self.ended = 0  # of these
-        self.commands: list[list[bytes]] = []  # for the script to record what it was sent
-        self.tasks: set[asyncio.Task[None]] = set()
+        self.connections = 0  # connections accepted so far
+        self.ended = 0  # how many of them have ended
+        self.commands: list[list[bytes]] = []  # received so far, as far as the script records them
+        self.connection_tasks: set[asyncio.Task[None]] = set()
 
     async def __aenter__(self) -> Self:
         self.server = await asyncio.start_server(self._serve, "127.0.0.1", self.port, limit=1 << 20)
@@ -71,57 +71,57 @@
 
     async def __aexit__(self, *_: object) -> None:
         self.server.close()
-        for task in self.tasks:
+        for task in self.connection_tasks:
             task.cancel()
 
     async def _serve(self, reader: Reader, writer: Writer) -> None:
         task = asyncio.current_task()
         assert task is not None
-        self.tasks.add(task)
+        self.connection_tasks.add(task)
         self.connections += 1
         try:
             await self.script(self.connections - 1, reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
-            pass  # the test is over; a task that ends as cancelled would be logged by asyncio's streams
+            pass  # the connection or the test has ended; asyncio's streams would log a cancelled task
         finally:
             self.ended += 1
-            self.tasks.discard(task)
+            self.connection_tasks.discard(task)
             writer.close()
 
 
 def reset(writer: Writer) -> None:
-    """Ends a connection so that its peer sees a reset."""
+    """Close a connection so that the other end sees a reset."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
     writer.transport.abort()
 
 
 async def read_command(reader: Reader) -> list[bytes]:
-    """The arguments of the next RESP command."""
-    count = int((await reader.readuntil(b"\r\n"))[1:])
-    words = []
-    for _ in range(count):
+    """Read the next RESP command; return its name and arguments."""
+    argument_count = int((await reader.readuntil(b"\r\n"))[1:])
+    arguments = []
+    for _ in range(argument_count):
         size = int((await reader.readuntil(b"\r\n"))[1:])
-        words.append((await reader.readexactly(size + 2))[:-2])
-    return words
+        arguments.append((await reader.readexactly(size + 2))[:-2])
+    return arguments
 
 
 def value(text: bytes) -> bytes:
-    """A backend's answer."""
+    """Return the reply of a backend that holds this value, but no figures and no load report."""
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(text), text)
 
 
-def backend(answer: bytes | None = None) -> Peer:
-    """Answers each command with `answer`, or with its id; b"" stands for silence."""
+def backend(reply: bytes | None = None) -> Peer:
+    """Return a backend that sends `reply` to each command; b"" sends none, None echoes the request id."""
 
-    async def script(_: int, reader: Reader, writer: Writer) -> None:
+    async def serve_connection(_: int, reader: Reader, writer: Writer) -> None:
         while True:
-            words = await read_command(reader)
-            peer.commands.append(words)
-            writer.write(value(words[2]) if answer is None else answer)
+            arguments = await read_command(reader)
+            server.commands.append(arguments)
+            writer.write(value(arguments[2]) if reply is None else reply)
 
-    peer = Peer(script)
-    return peer
+    server = Peer(serve_connection)
+    return server
 
 
 def command(
@@ -133,21 +133,21 @@
     body: bytes | None = None,
     extra: str = "",
 ) -> bytes:
-    """A valid API.READ, or an API.WRITE if the class is not "read", as RESP."""
+    """Return a valid API.READ, or an API.WRITE if the class is not "read", encoded in RESP."""
     if cls != "read":
         verb, extra, body = verb or "API.WRITE", extra + ",k=0123456789abcdef", body or b"body"
-    names = f"c={cls},t=basic,d={d}{extra},units=1,spread=1,first=0"
-    words = [(verb or "API.READ").encode(), b"%016x" % customer, request.encode(), names.encode()]
-    return resp(*words, *([] if body is None else [body]))
+    fields = f"c={cls},t=basic,d={d}{extra},units=1,spread=1,first=0"
+    arguments = [(verb or "API.READ").encode(), b"%016x" % customer, request.encode(), fields.encode()]
+    return resp(*arguments, *([] if body is None else [body]))
 
 
-def resp(*words: bytes) -> bytes:
-    """A RESP array of bulk strings."""
-    return b"*%d\r\n" % len(words) + b"".join(b"$%d\r\n%b\r\n" % (len(w), w) for w in words)
+def resp(*items: bytes) -> bytes:
+    """Return a RESP array of bulk strings."""
+    return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
 
 
 class Caller:
-    """A client's connection."""
+    """A client's connection to an ingress."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
         self.reader = reader
@@ -156,25 +156,25 @@
 
     @classmethod
     async def to(cls, address: Address) -> Self:
-        """Connects to the address."""
+        """Connect to the address."""
         return cls(*await asyncio.open_connection(*address))
 
     async def answer(self) -> Any:
-        """The next reply; raises EOFError if the connection ends first."""
-        while (found := self.parser.gets()) is self:
+        """Return the next reply; raise EOFError if the connection ends first."""
+        while (reply := self.parser.gets()) is self:
             data = await self.reader.read(1 << 16)
             if not data:
                 raise EOFError
             self.parser.feed(data)
-        return found
+        return reply
 
     async def ask(self, data: bytes) -> Any:
-        """Sends a command, and returns the next reply."""
+        """Send a command, and return the next reply."""
         self.writer.write(data)
         return await self.answer()
 
     async def closes_without_reset(self) -> bool:
-        """Whether the connection ends in order, with nothing more; a reset raises ConnectionError."""
+        """Return whether the connection is closed without further data; raise ConnectionError on a reset."""
         return await self.reader.read() == b""
 
 
@@ -202,10 +202,10 @@
 }
 
 
-def entry(address: Address, name: str = "s1", state: str = "ready", started: int = 0) -> dict[str, Any]:
-    """A backend as an endpoint list shows it."""
+def entry(address: Address, backend_id: str = "s1", state: str = "ready", started: int = 0) -> dict[str, Any]:
+    """Return the entry of a backend in an endpoint list."""
     return {
-        "id": name,
+        "id": backend_id,
         "addr": f"{address[0]}:{address[1]}",
         "zone": "a",
         "kind": "m",
@@ -219,8 +219,11 @@
 def config_text(
     *servers: dict[str, Any], listen: str = "127.0.0.1:0", discovery: str = "127.0.0.1:1", **changes: Any
 ) -> str:
-    """A configuration file that knows the servers; a change to None leaves its key out."""
-    source = {
+    """Return the text of a configuration file that knows the servers.
+
+    `changes` override keys of the file; None removes the key.
+    """
+    values = {
         "name": "n0",
         "listen": listen,
         "discovery": discovery,
@@ -229,9 +232,9 @@
         "known": {"version": 1, "full": True, "servers": list(servers)},
         "settings": SETTINGS,
     }
-    return json.dumps({k: v for k, v in (source | changes).items() if v is not None})
+    return json.dumps({key: value for key, value in (values | changes).items() if value is not None})
 
 
 def config(*servers: dict[str, Any], **changes: Any) -> Config:
-    """The same, as typed values."""
+    """Return a configuration that knows the servers; `changes` override keys of its file."""
     return read_config(config_text(*servers, **changes))
--- a/tests/support/pool.py
+++ b/tests/support/pool.py
@@ -1,4 +1,4 @@
-"""A pool of connections to backends, and the outcomes that it has reported."""
+"""A connection pool for tests, and the results that it has reported."""
 
 from __future__ import annotations
 
@@ -20,8 +20,8 @@
 
 
 @dataclass(slots=True)
-class Result:
-    """How an attempt ended, as the pool reported it."""
+class AttemptResult:
+    """The end of an attempt, as the pool reported it."""
 
     number: int
     outcome: Outcome
@@ -29,7 +29,7 @@
 
 
 class PoolUnderTest:
-    """A pool, the attempts sent by it, and their results in the order in which they were reported."""
+    """A connection pool, and the results of its attempts in the order in which the pool reported them."""
 
     def __init__(
         self,
@@ -38,8 +38,8 @@
         connect_timeout_s: float = 0.25,
         idle_timeout_s: float = 15.0,
     ) -> None:
-        """Make a pool with the backends s0, s1, ... at the addresses."""
-        self.results: list[Result] = []
+        """Create a pool with the backends s0, s1, ... at the addresses."""
+        self.results: list[AttemptResult] = []
         self.clock_offset_s = 0.0
         self.attempt_count = 0
         clock = unix_clock()
@@ -53,34 +53,36 @@
         )
         self.update(*((Backend(f"s{n}"), address) for n, address in enumerate(addresses)))
 
-    def update(self, *rows: tuple[Backend, Address], full: bool = True) -> None:
-        """Hand the pool a whole list, or changed entries."""
-        backends = tuple(backend for backend, _ in rows)
-        addresses = {backend.id: address for backend, address in rows}
+    def update(self, *entries: tuple[Backend, Address], full: bool = True) -> None:
+        """Pass the pool a complete endpoint list, or only the changed entries if `full` is false."""
+        backends = tuple(backend for backend, _ in entries)
+        addresses = {backend.id: address for backend, address in entries}
         self.pool.update_endpoints(full, backends, addresses)
 
     def record(
         self, attempt: Attempt, outcome: Outcome, value: bytes | None, load_report: dict[str, float]
     ) -> None:
-        """Record a result: the pool's callback."""
-        self.results.append(Result(attempt.number, outcome, value))
+        """Record a result; the pool calls this method."""
+        self.results.append(AttemptResult(attempt.number, outcome, value))
 
     def send(
         self,
-        name: str = "s0",
+        backend_id: str = "s0",
         timeout_s: float = 5.0,
         parts: CommandParts = PARTS,
         write_within_s: float = inf,
     ) -> Attempt:
         """Start an attempt at the backend."""
         now = self.pool.clock()
-        attempt = Attempt("r", self.attempt_count, name, now, now + timeout_s, parts, now + write_within_s)
+        attempt = Attempt(
+            "r", self.attempt_count, backend_id, now, now + timeout_s, parts, now + write_within_s
+        )
         self.attempt_count += 1
         self.pool.start(attempt)
         return attempt
 
-    async def result(self, count: int = 1) -> tuple[Outcome, bytes | None]:
-        """Wait for as many results; return the outcome and value of the last of them."""
-        await until(lambda: len(self.results) >= count)
-        result = self.results[count - 1]
+    async def result(self, result_count: int = 1) -> tuple[Outcome, bytes | None]:
+        """Wait for `result_count` results in all; return the outcome and value of the last of them."""
+        await until(lambda: len(self.results) >= result_count)
+        result = self.results[result_count - 1]
         return result.outcome, result.value
--- a/tests/support/process.py
+++ b/tests/support/process.py
@@ -1,4 +1,4 @@
-"""The real program as a process."""
+"""Run the real program as a subprocess, with a configuration."""
 
 from __future__ import annotations
 
@@ -15,11 +15,11 @@
 from tests.support.paths import ROOT
 from tests.support.peers import Address, config_text
 
-CONFIG_FILE = "config.json"  # in the folder that a program is started for
+CONFIG_FILE = "config.json"  # name of the configuration file that a test writes
 
 
 def free_port() -> int:
-    """A loopback port that is free now."""
+    """Return a loopback port that is currently free."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         port: int = server.getsockname()[1]
         return port
@@ -29,14 +29,15 @@
 async def running(
     path: Path, text: str, search: str = "", descriptors: int = 0
 ) -> AsyncIterator[asyncio.subprocess.Process]:
-    """The program with a configuration, written to `path`; it is killed at the end if it still runs.
+    """Run the program with the configuration `text`, written to `path`; kill it at the end if it still runs.
 
-    `search` stands before all other folders of modules; `descriptors` limits how many it may open, if not 0.
+    The optional arguments are a directory that Python searches for modules first, and a limit on open
+    file descriptors (0 for no limit).
     """
     path.write_text(text, encoding="utf-8")
-    changes = {"EDGE_CONFIG": str(path)} | ({"PYTHONPATH": search} if search else {})
+    variables = {"EDGE_CONFIG": str(path)} | ({"PYTHONPATH": search} if search else {})
 
-    def limit() -> None:
+    def limit_descriptors() -> None:
         if descriptors:
             resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
 
@@ -45,9 +46,9 @@
         "-m",
         "ingress",
         cwd=ROOT,
-        env=os.environ | changes,
+        env=os.environ | variables,
         stderr=asyncio.subprocess.PIPE,
-        preexec_fn=limit,
+        preexec_fn=limit_descriptors,
     )
     try:
         yield process
@@ -58,26 +59,29 @@
 
 
 async def log_line(process: asyncio.subprocess.Process, *parts: str) -> str:
-    """The next line of the program's log that holds all of `parts`.
+    """Return the next line of the program's log that contains all of `parts`.
 
-    Raises EOFError, with the lines before, if the program ends without one.
+    Raise EOFError, with the lines read, if the program ends without such a line.
     """
     assert process.stderr is not None
-    others = ""
-    while text := (await process.stderr.readline()).decode():
-        if all(part in text for part in parts):
-            return text
-        others += text
-    raise EOFError(others)
+    skipped = ""
+    while line := (await process.stderr.readline()).decode():
+        if all(part in line for part in parts):
+            return line
+        skipped += line
+    raise EOFError(skipped)
 
 
 @asynccontextmanager
 async def listening(
-    folder: Path, *servers: dict[str, Any], descriptors: int = 0, **changes: Any
+    directory: Path, *servers: dict[str, Any], descriptors: int = 0, **changes: Any
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Address]]:
-    """The program once it listens, and its address; `servers` and `changes` make its configuration."""
+    """Run the program; once it listens, yield the process and its address.
+
+    The configuration knows the servers, and `changes` override its keys.
+    """
     address = ("127.0.0.1", free_port())
     text = config_text(*servers, listen=f"127.0.0.1:{address[1]}", **changes)
-    async with running(folder / CONFIG_FILE, text, descriptors=descriptors) as process:
+    async with running(directory / CONFIG_FILE, text, descriptors=descriptors) as process:
         await log_line(process, "listening")
         yield process, address
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -1,4 +1,4 @@
-"""Addresses that connections don't come up to."""
+"""Loopback addresses to which connections fail."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 
 from tests.support.peers import Address
 
-CONNECTIONS_THAT_FILL_THE_BACKLOG = 4
+BACKLOG_FILLING_CONNECTION_COUNT = 4
 
 
 def refusing_address() -> Address:
-    """Return an address that nobody listens at any more."""
+    """Return an address that refuses connections, because nothing listens on it any more."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         address: Address = server.getsockname()
     return address
@@ -25,7 +25,7 @@
         server = sockets.enter_context(socket.socket())
         server.bind(("127.0.0.1", 0))
         server.listen(0)
-        for _ in range(CONNECTIONS_THAT_FILL_THE_BACKLOG):
+        for _ in range(BACKLOG_FILLING_CONNECTION_COUNT):
             sock = sockets.enter_context(socket.socket())
             sock.setblocking(False)
             sock.connect_ex(server.getsockname())
