--- a/ingress/gossip_codec.py
+++ b/ingress/gossip_codec.py
@@ -51,11 +51,11 @@
     customer's hash and the units that the customer has used.
     """
     text = str(incarnation)
-    included = 0
+    included_count = 0
     for customer_hash, total in totals:
         item = f" {customer_hash:x}:{round(total * TENTHS_PER_UNIT)}"
         if len(text) + len(item) > MAX_TEXT_BYTES:
             break
         text += item
-        included += 1
-    return FormattedReport(text, included)
+        included_count += 1
+    return FormattedReport(text, included_count)
--- a/ingress/settings_codec.py
+++ b/ingress/settings_codec.py
@@ -23,22 +23,22 @@
 """Map from the name of a load report figure on the wire to its name in the decision module."""
 
 
-def decode_settings(env: Mapping[str, Any]) -> api.Settings:
+def decode_settings(values: Mapping[str, Any]) -> api.Settings:
     """Decode the settings of a `Start` message or of the configuration file; ignore unknown keys.
 
     Raise KeyError for a missing key, ValueError for a number outside its valid range, and TypeError or
     AttributeError for a value of the wrong type.
     """
-    limits = env["limits"]
-    rules = env["rules"]
-    fleet_info = env["family-info"]
+    limits = values["limits"]
+    rules = values["rules"]
+    fleet_info = values["family-info"]
     return api.Settings(
-        classes=tuple(_decode_class(row) for row in env["categories"]),
-        plans=tuple(_decode_plan(row) for row in env["contracts"]),
-        instance_index=env["self-index"],
-        instance_count=env["balancers"],
-        zone=env.get("zone", ""),
-        tick=env.get("tick-s", 0.001),
+        classes=tuple(_decode_class(row) for row in values["categories"]),
+        plans=tuple(_decode_plan(row) for row in values["contracts"]),
+        instance_index=values["self-index"],
+        instance_count=values["balancers"],
+        zone=values.get("zone", ""),
+        tick=values.get("tick-s", 0.001),
         answer_slack=rules.get("answer-slack-s", 0.0),
         drain_grace=rules.get("drain-grace-s", 0.0),
         slow_start_duration=rules.get("cold-s", 0.0),
@@ -46,7 +46,7 @@
         overload_factor=rules.get("overload-factor", 1.0),
         overload_window=rules.get("fall-s", 1.0),
         max_poll_interval=rules.get("ask-within-s", 0.0),
-        poll_discovery=env.get("membership-mode", "pushed") == "on_request",
+        poll_discovery=values.get("membership-mode", "pushed") == "on_request",
         max_attempts=limits.get("max-attempts", 1),
         hedging=limits.get("second-copies", False),
         cancellation=limits.get("cancel", False),
--- a/ingress/simulator/adapter.py
+++ b/ingress/simulator/adapter.py
@@ -121,7 +121,7 @@
         else:
             self._messages.append(message)
 
-    def check_end(self) -> None:
+    def check_end_of_input(self) -> None:
         """Raise MalformedInputError if the input ends inside a batch."""
         if self._batch_time is not None:
             raise MalformedInputError("the input ends inside a batch")
@@ -146,7 +146,7 @@
             reader.read_line(line)
         except (MalformedInputError, KeyError, TypeError, ValueError) as error:
             raise MalformedInputError(f"line {line_number}: {error}") from error
-    reader.check_end()
+    reader.check_end_of_input()
 
 
 def main() -> int:
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -13,7 +13,7 @@
 from ingress.simulator.adapter import MalformedInputError, serve
 from tests.support.paths import ROOT
 
-ENV = {
+SETTINGS = {
     "balancers": 2,
     "self-index": 0,
     "zone": "a",
@@ -43,11 +43,11 @@
     return "".join(json.dumps(message) + "\n" for message in messages)
 
 
-def encode_two_batches(env: object = ENV) -> str:
+def encode_two_batches(settings: object = SETTINGS) -> str:
     """Return a batch that starts a gateway, and a batch with 30 requests for it."""
     start = [
         {"m": "BeginBatch", "ts-s": 1.0},
-        {"m": "Start", "ingress": 3, "nonce64": 7, "env": env},
+        {"m": "Start", "ingress": 3, "nonce64": 7, "env": settings},
         {"m": "SnapshotRows", "set-id": 0, "members-list": ENDPOINT_ROWS},
         {"m": "BackendsChanged", "ingress": 3, "kind": "restored", "epoch": 1, "set-id": 0},
         {"m": "Eob"},
@@ -107,9 +107,11 @@
 
 def test_error_for_invalid_settings_names_the_field() -> None:
     with pytest.raises(MalformedInputError, match="rate"):
-        serve_text(encode_two_batches(ENV | {"contracts": [{"name": "basic", "refill": -1.0, "burst": 1.0}]}))
+        serve_text(
+            encode_two_batches(SETTINGS | {"contracts": [{"name": "basic", "refill": -1.0, "burst": 1.0}]})
+        )
     with pytest.raises(MalformedInputError, match="classes"):
-        serve_text(encode_two_batches(ENV | {"categories": []}))
+        serve_text(encode_two_batches(SETTINGS | {"categories": []}))
 
 
 def test_exception_in_the_decision_module_is_reported(monkeypatch: pytest.MonkeyPatch) -> None:
--- a/tests/support/quota.py
+++ b/tests/support/quota.py
@@ -13,12 +13,15 @@
 COUNTING = replace(SETTINGS, counter_enabled=True, counter_timeout=0.05)
 LARGE_FLEET = replace(COUNTING, instance_count=200)  # slices of a quota are smaller than a request
 GOSSIPING = replace(SETTINGS, gossip=True, gossip_receive_rate=100.0)
-EPOCH_S = 30.0
+COUNT_EPOCH_S = 30.0
 
 
-def count_started_at(epoch: int, customer: bytes = b"c") -> float:
-    """Return the time in seconds at which the customer's count in the epoch with this number begins."""
-    return EPOCH_S * epoch - EPOCH_S * (crc32(customer) % 1000 / 1000)
+def count_started_at(epoch_number: int, customer: bytes = b"c") -> float:
+    """Return the time in seconds at which the customer's count in the epoch with this number begins.
+
+    Epochs of different customers begin at different times, which depend on a hash of the customer's key.
+    """
+    return COUNT_EPOCH_S * epoch_number - COUNT_EPOCH_S * (crc32(customer) % 1000 / 1000)
 
 
 def spend(harness: Play, request_count: int, **changes: object) -> int:
--- a/tests/test_settings_codec.py
+++ b/tests/test_settings_codec.py
@@ -11,7 +11,7 @@
 
 CLASS = {"name": "read", "aim-s": 1.0, "give-up-s": 4.0, "importance": 2.0, "semantics": "safe"}
 PLAN = {"name": "basic", "refill": 2.0, "burst": 8.0}
-MINIMAL: dict[str, Any] = {
+MINIMAL_SETTINGS: dict[str, Any] = {
     "balancers": 2,
     "self-index": 1,
     "categories": [CLASS],
@@ -23,7 +23,7 @@
 
 
 def test_missing_optional_keys_have_the_defaults_of_the_interface() -> None:
-    assert decode_settings(MINIMAL) == api.Settings(
+    assert decode_settings(MINIMAL_SETTINGS) == api.Settings(
         classes=(api.RequestClass("read", 1.0, 4.0, 2.0),),
         plans=(api.Plan("basic", 2.0, 8.0),),
         instance_index=1,
@@ -40,7 +40,7 @@
         "aim-stretch": 1.5,
         "stream": True,
     }
-    assert decode_settings(MINIMAL | {"categories": [row]}).classes == (
+    assert decode_settings(MINIMAL_SETTINGS | {"categories": [row]}).classes == (
         api.RequestClass(
             name="read",
             latency_objective=1.0,
@@ -66,7 +66,7 @@
         "ceiling-burst": 30.0,
         "cap-slack": 4.0,
     }
-    assert decode_settings(MINIMAL | {"contracts": [row]}).plans == (
+    assert decode_settings(MINIMAL_SETTINGS | {"contracts": [row]}).plans == (
         api.Plan(
             name="basic",
             rate=2.0,
@@ -83,7 +83,7 @@
 
 
 def test_all_other_settings_are_decoded() -> None:
-    env = MINIMAL | {
+    values = MINIMAL_SETTINGS | {
         "zone": "a",
         "tick-s": 0.002,
         "membership-mode": "on_request",
@@ -113,7 +113,7 @@
             "most-units": 8,
         },
     }
-    settings = decode_settings(env)
+    settings = decode_settings(values)
     assert settings == api.Settings(
         classes=settings.classes,
         plans=settings.plans,
@@ -144,7 +144,7 @@
     )
 
 
-@pytest.mark.parametrize("key", list(MINIMAL))
+@pytest.mark.parametrize("key", list(MINIMAL_SETTINGS))
 def test_missing_required_key_is_named_in_the_error(key: str) -> None:
     with pytest.raises(KeyError, match=key):
-        decode_settings({name: value for name, value in MINIMAL.items() if name != key})
+        decode_settings({name: value for name, value in MINIMAL_SETTINGS.items() if name != key})
