--- a/ingress/decisions/backend.py
+++ b/ingress/decisions/backend.py
@@ -1,4 +1,4 @@
-"""One backend as this gateway sees it: its attempts in flight, latency, health and limits."""
+"""The state that this gateway keeps of one backend: attempts in flight, latency, health and limits."""
 
 from dataclasses import dataclass
 
@@ -9,134 +9,151 @@
 from ingress.decisions.outlier_ejection import OutlierEjection
 from ingress.decisions.token_bucket import TokenBucket
 
-CROSS_ZONE_FACTOR = 1.1  # a backend of another zone counts as this much busier: a tie-break
-MIN_RELATIVE_LATENCY = 0.2  # of the mean answer time: a backend does not count as faster than that
-SILENCE_FOR_MEAN_LATENCY = 3.0  # mean answer times of silence that count as much as answers at the mean
-RELATIVE_LATENCY_HALF_LIFE = 3  # longest latency objectives until an old observation counts half
-MIN_DIVISOR = 1e-6  # keeps a mean answer time or a weight of 0 from a division by zero
+CROSS_ZONE_FACTOR = 1.1  # multiplies the load score of backends in other zones, as a tie-break
+MIN_RELATIVE_LATENCY = 0.2  # lower bound of a backend's latency over the mean, in the load score
+SILENCE_FOR_MEAN_LATENCY = 3.0  # mean answer times of silence that count as a relative latency of 1
+RELATIVE_LATENCY_HALF_LIFE = 3  # in longest latency objectives: after this, an observation counts half
+MIN_DIVISOR = 1e-6  # replaces a mean answer time or a weight of 0, to prevent a division by zero
 
 
 @dataclass(slots=True)
 class LoadTotals:
-    """Attempts out and concurrency limits, summed over the backends that may be chosen."""
+    """Attempts in flight and concurrency limits, summed over the candidates."""
 
     attempts_out: int = 0
-    """Attempts in flight from this gateway."""
+    """Number of attempts that this gateway has in flight."""
     limit: float = 0.0
-    """Attempts that may be in flight from this gateway."""
+    """Number of attempts that this gateway may have in flight."""
 
 
 class TrackedBackend:
-    """A backend that this gateway may send to, or has attempts in flight at."""
+    """A backend that this gateway may send to, or where it has attempts in flight."""
 
     def __init__(
         self, info: api.Backend, now: float, budget_level: float = 0.0, totals: LoadTotals | None = None
     ) -> None:
         self.info = info
-        """Its entry in the endpoint list."""
+        """The backend's entry in the endpoint list."""
         self.totals = totals or LoadTotals()
-        """The sums over all candidates, in which it counts while it is available."""
-        self.available = False
-        """Whether it may be chosen: it is ready, and in the subset or the reserve."""
-        self.attempts_out: dict[AttemptKey, float] = {}
-        """When each attempt in flight was sent (s), the oldest first."""
-        self.concurrency = ConcurrencyLimit(now)
-        """Its limit on attempts in flight."""
+        """Sums over all candidates; they include this backend while it is a candidate."""
+        self.is_candidate = False
+        """Whether the backend may be chosen: it is ready and in the subset or the reserve."""
+        self.attempts_in_flight: dict[AttemptKey, float] = {}
+        """Time at which each attempt in flight was sent (s), oldest first."""
+        self.concurrency_limit = ConcurrencyLimit(now)
+        """Limit on the attempts in flight at the backend."""
         self.reset_for_restart(now, budget_level)
 
     def reset_for_restart(self, now: float, budget_level: float) -> None:
-        """Forgets an earlier process of the backend.
+        """Discard what was learned of an earlier process of the backend.
 
-        `budget_level` (mean requests) should be random: budgets that all began at one level would all allow
-        their first request at one moment."""
+        `budget_level` is the initial level of the slow-start budget, in mean requests.  It should be random:
+        if the budgets of all gateways started at the same level, all would allow their first request at the
+        same moment.
+        """
         self.set_limit(INITIAL_LIMIT)
-        self.concurrency = ConcurrencyLimit(now)
+        self.concurrency_limit = ConcurrencyLimit(now)
         self.ejection = OutlierEjection(now)
-        """Its failures in a row, and whether they keep it from getting requests."""
+        """The backend's consecutive failures, and whether it is ejected because of them."""
         self.relative_latency = 1.0
-        """Running mean of its answer times, each over the mean of its class."""
+        """Running mean of the backend's answer times, each divided by the mean of its request class."""
         self.last_answer_at = now
-        """When it last answered, or an attempt timed out that it had not answered (s)."""
+        """Time of the last answer (s), or of a time-out if no answer came since its attempt was sent."""
         self.slow_start_budget = TokenBucket(0.0, 1.0, budget_level, now)
-        """The work that this gateway may send it while it warms up."""
+        """The work, in mean requests, that this gateway may send to the backend while it warms up."""
 
     @property
     def limit(self) -> float:
-        """How many attempts from here may be in flight at it."""
-        return self.concurrency.limit
+        """Number of attempts that this gateway may have in flight at the backend."""
+        return self.concurrency_limit.limit
 
     def set_limit(self, limit: float) -> None:
-        """Sets how many attempts from here may be in flight at it."""
-        self._count_limit_change(self.concurrency.change_to(limit))
+        """Set how many attempts this gateway may have in flight at the backend."""
+        self._add_limit_change_to_totals(self.concurrency_limit.set_limit(limit))
 
-    def set_available(self, available: bool) -> None:
-        """Sets whether it may be chosen, and so whether it counts in the totals."""
-        sign = int(available) - int(self.available)
-        self.totals.attempts_out += sign * len(self.attempts_out)
-        self.totals.limit += sign * self.concurrency.limit
-        self.available = available
+    def set_candidate(self, is_candidate: bool) -> None:
+        """Set whether the backend is a candidate, and add it to the totals or remove it from them."""
+        sign = int(is_candidate) - int(self.is_candidate)
+        self.totals.attempts_out += sign * len(self.attempts_in_flight)
+        self.totals.limit += sign * self.concurrency_limit.limit
+        self.is_candidate = is_candidate
 
     def is_warming_up(self, now: float, settings: api.Settings) -> bool:
-        """Whether it started so recently that it may not have its full capacity."""
+        """Return whether the backend started so recently that it may lack its full capacity."""
         return self.info.started > 0.0 and now < self.info.started + settings.slow_start_duration
 
     def record_answer(self, now: float, latency: float, mean: float, latency_objective: float) -> None:
-        """Learns from an answer after `latency` s; `mean` is the mean answer time of its class (s)."""
+        """Update latency, health and limit after an answer that took `latency` seconds.
+
+        `mean` is the mean answer time of the request's class (s).
+        """
         self.relative_latency += SMOOTHING * (latency / max(mean, MIN_DIVISOR) - self.relative_latency)
         self.last_answer_at = now
         self.ejection.record_answer()
-        in_flight = len(self.attempts_out)
-        self._count_limit_change(self.concurrency.record_answer(now, latency, latency_objective, in_flight))
+        in_flight = len(self.attempts_in_flight)
+        self._add_limit_change_to_totals(
+            self.concurrency_limit.record_answer(now, latency, latency_objective, in_flight)
+        )
 
     def decrease_limit(self, now: float, min_interval: float) -> None:
-        """Shrinks the limit unless it was shrunk less than `min_interval` seconds ago."""
-        self._count_limit_change(self.concurrency.decrease(now, min_interval, len(self.attempts_out)))
+        """Decrease the limit unless it was decreased less than `min_interval` seconds ago."""
+        self._add_limit_change_to_totals(
+            self.concurrency_limit.decrease(now, min_interval, len(self.attempts_in_flight))
+        )
 
     def record_failure(self, now: float, outcome: api.Outcome, longest_objective: float) -> None:
-        """Learns from a failed or rejected attempt.
+        """Update health and limit after a failed or rejected attempt.
 
-        A backend that fails at once looks idle, and would draw all requests.  `longest_objective` is the
-        longest latency objective of all classes (s)."""
+        A backend that fails at once has few attempts in flight.  Without ejection the balancer would take it
+        for idle and send it all requests.  `longest_objective` is the longest latency objective of all
+        classes (s).
+        """
         if outcome is not api.Outcome.REJECTED:
             self.ejection.record_failure(now, outcome, longest_objective)
-        elif self.ejection.record_rejection(now, self.concurrency.is_busy, longest_objective):
+        elif self.ejection.record_rejection(now, self.concurrency_limit.is_busy, longest_objective):
             self.decrease_limit(now, 0.0)
 
     def clear_failures(self) -> None:
-        """A good answer came: earlier failures count no more."""
+        """Reset the count of consecutive failures after a successful answer."""
         self.ejection.clear_failures()
 
     def suspect(self) -> None:
-        """No answer has come since an attempt that timed out: one more failure ejects it."""
-        self.ejection.suspect()
+        """Let the next failure eject the backend.
+
+        The caller uses this when an attempt has timed out and the backend has answered nothing since the
+        attempt was sent.
+        """
+        self.ejection.mark_suspect()
 
     def is_ejected(self, now: float) -> bool:
-        """Whether failures keep it from getting requests; after the pause it gets one at a time."""
-        return self.ejection.is_ejected(now, bool(self.attempts_out))
+        """Return whether failures exclude the backend; after the pause it gets one attempt at a time."""
+        return self.ejection.is_ejected(now, bool(self.attempts_in_flight))
 
-    def silent_for(self, now: float) -> float:
-        """Seconds for which it has had attempts in flight and answered none of them."""
-        if not self.attempts_out:
+    def silence_duration(self, now: float) -> float:
+        """Return for how many seconds the backend has had attempts in flight without answering any."""
+        if not self.attempts_in_flight:
             return 0.0
-        oldest_sent_at = next(iter(self.attempts_out.values()))
+        oldest_sent_at = next(iter(self.attempts_in_flight.values()))
         return now - max(self.last_answer_at, oldest_sent_at)
 
     def load_score(
         self, now: float, mean: float, longest_objective: float, zone: str, tie_break: float
     ) -> float:
-        """The load it is expected to have for its weight, as seen from `zone`; the least loaded is chosen.
+        """Return the expected load of the backend relative to its weight, as seen from `zone`.
 
-        `mean` is the mean answer time of the request's class (s).  `tie_break`, drawn from the exponential
-        distribution, chooses among idle backends in proportion to their weights."""
-        # Old observations lose their weight: else a backend that was slow once would never be tried again.
+        The balancer chooses the backend with the lowest score.  `mean` is the mean answer time of the
+        request's class (s).  `tie_break` is drawn from the exponential distribution, so that among idle
+        backends each is chosen in proportion to its weight.
+        """
+        # An old observation decays: otherwise a backend that was slow once would never be tried again.
         half_lives = (now - self.last_answer_at) / (RELATIVE_LATENCY_HALF_LIFE * longest_objective)
         decay: float = 0.5**half_lives
-        silence = self.silent_for(now) / max(mean, MIN_DIVISOR) / SILENCE_FOR_MEAN_LATENCY
+        silence = self.silence_duration(now) / max(mean, MIN_DIVISOR) / SILENCE_FOR_MEAN_LATENCY
         latency = max(1.0 + (self.relative_latency - 1.0) * decay, silence, MIN_RELATIVE_LATENCY)
         zone_factor = CROSS_ZONE_FACTOR if zone != self.info.zone else 1.0
-        load = (len(self.attempts_out) + tie_break) * latency
+        load = (len(self.attempts_in_flight) + tie_break) * latency
         return load / max(self.info.weight, MIN_DIVISOR) * zone_factor
 
-    def _count_limit_change(self, change: float) -> None:
-        """Every change of the limit passes here, so that the totals remain the sums."""
-        self.totals.limit += change * self.available
+    def _add_limit_change_to_totals(self, change: float) -> None:
+        """Update the totals after a change of the limit; every change must be passed to this method."""
+        self.totals.limit += change * self.is_candidate
--- a/ingress/decisions/balancer.py
+++ b/ingress/decisions/balancer.py
@@ -1,4 +1,4 @@
-"""The choice of a backend for an attempt, with an effort that does not grow with the fleet."""
+"""The load balancer: chooses a backend for each attempt, at a cost that does not grow with the fleet."""
 
 import random
 
@@ -11,40 +11,40 @@
 from ingress.decisions.slow_start import SlowStart
 from ingress.decisions.subset import Subsetting
 
-STALL_FACTOR = 4.0  # mean answer times: with attempts in flight, a silence above it shows a stall
-MIN_HEALTHY_SHARE = 0.5  # of the backends compared: with fewer, ejection is suspended (panic threshold)
-SUBSET_ATTEMPTS = 2  # of a request go to the subset; later ones to the reserve, as the subset may be down
-MAX_COMPARED = 32  # backends of the subset that are compared for one attempt
-MAX_FALLBACK_COMPARED = 256  # candidates that are compared where the subset has no room
-MAX_SAMPLED_READY = 16  # ready backends that are compared where no candidate has room
+STALL_FACTOR = 4.0  # mean answer times: a backend that owes answers and is silent for longer has stalled
+MIN_HEALTHY_SHARE = 0.5  # of the backends compared: if fewer are healthy, ejection is suspended (panic threshold)
+SUBSET_ATTEMPTS = 2  # attempts of a request to the subset; further ones use the reserve (subset may be down)
+MAX_COMPARED = 32  # backends of the subset or the reserve that are compared for one attempt
+MAX_FALLBACK_COMPARED = 256  # candidates that are compared if none of the first sample has room
+MAX_SAMPLED_READY = 16  # ready backends that are compared if no candidate has room
 DECREASE_INTERVAL_SHARE = 0.25  # of the longest latency objective: between decreases without an answer
 
 
 class LoadBalancer:
-    """Chooses backends for attempts, and keeps count of the attempts in flight."""
+    """Chooses backends for attempts, and records which attempts are in flight."""
 
     def __init__(self, settings: api.Settings, answer_times: AnswerTimes, rng: random.Random) -> None:
         self.settings = settings
         """The deployment's settings."""
         self.answer_times = answer_times
-        """Mean answer times of the classes."""
+        """Mean answer times of the request classes."""
         self.rng = rng
-        """Draws the samples and breaks ties."""
+        """Random number generator for samples and tie-breaks."""
         self.longest_objective = max(c.latency_objective for c in settings.classes)
-        """The longest latency objective of all classes (s)."""
+        """The longest latency objective of all request classes (s)."""
         self.candidate_set = CandidateSet(settings, rng)
-        """The backends to choose from."""
+        """The backends that attempts may go to."""
         self.slow_start = SlowStart(settings, self.candidate_set)
-        """The budgets of backends that warm up."""
+        """Limits the load on backends that warm up."""
 
     @property
     def ready_backends(self) -> dict[str, api.Backend]:
-        """The entries of all ready backends, by id."""
+        """Endpoint list entries of all ready backends, by backend id."""
         return self.candidate_set.ready_backends
 
     @property
     def subsetting(self) -> Subsetting:
-        """Which gateways prefer which backends."""
+        """The computation of the gateways' subsets."""
         return self.candidate_set.subsetting
 
     @property
@@ -53,9 +53,9 @@
         return self.candidate_set.load_totals
 
     @property
-    def backends(self) -> dict[str, TrackedBackend]:
-        """The candidates, and other backends with attempts in flight, by id."""
-        return self.candidate_set.tracked
+    def tracked_backends(self) -> dict[str, TrackedBackend]:
+        """The candidates and other backends with attempts in flight, by backend id."""
+        return self.candidate_set.tracked_backends
 
     @property
     def subset(self) -> list[TrackedBackend]:
@@ -64,46 +64,53 @@
 
     @property
     def reserve(self) -> list[TrackedBackend]:
-        """Further backends, for when the subset is full or down."""
+        """Further backends, used when the subset is full or down."""
         return self.candidate_set.reserve
 
     @property
     def candidates(self) -> list[TrackedBackend]:
-        """The subset and the reserve."""
+        """The backends of the subset and the reserve."""
         return self.candidate_set.candidates
 
     def apply_update(self, event: api.EndpointUpdate, now: float) -> None:
-        """Applies a change of the endpoint list."""
+        """Apply an update of the endpoint list."""
         self.candidate_set.apply_update(event, now)
 
     def attempt_started(self, backend: TrackedBackend, key: AttemptKey, now: float) -> None:
-        """Counts an attempt that was sent."""
-        self.candidate_set.attempt_started(backend, key, now)
+        """Add an attempt that was sent to the attempts in flight at the backend."""
+        self.candidate_set.add_attempt(backend, key, now)
 
     def attempt_ended(self, backend: TrackedBackend, key: AttemptKey) -> float:
-        """Counts the end of an attempt, and returns when it was sent (s); KeyError if it is not in flight."""
-        return self.candidate_set.attempt_ended(backend, key)
+        """Remove an attempt that ended from those in flight, and return the time at which it was sent (s).
+
+        Raise KeyError if the attempt is not in flight.
+        """
+        return self.candidate_set.remove_attempt(backend, key)
 
     def record_answer(self, now: float) -> None:
-        """Counts a good answer for the rate that backends are known to carry."""
+        """Include a successful answer in the rate from which slow start derives its budgets."""
         self.slow_start.record_answer(now)
 
     def slow_start_allows(self, backend: TrackedBackend, now: float, request: PendingRequest) -> bool:
-        """Whether the backend may get the request: it is warm, or its budget has room for the work."""
+        """Return whether the backend is warm, or its slow-start budget has room for the request's work."""
         if not backend.is_warming_up(now, self.settings):
             return True
-        return self.slow_start.allows(backend, now, self.answer_times.work(request))
+        return self.slow_start.allows(backend, now, self.answer_times.expected_work(request))
 
     def choose_backend(
-        self, request: PendingRequest, now: float, explore: bool = False
+        self, request: PendingRequest, now: float, is_exploratory: bool = False
     ) -> TrackedBackend | None:
-        """The backend for one more attempt: of the subset, else of the reserve, else of a sample of all.
+        """Return the backend for one more attempt, or None if no backend that was compared has room.
 
-        None if none of them has room.  With `explore` it is an idle one of the reserve, to find out whether
-        an overload extends beyond the subset."""
+        The choice is made from the subset (for later attempts, the reserve), else from all candidates, else
+        from a random sample of all ready backends.  An exploratory attempt goes to an idle backend of the
+        reserve, to find out whether an overload extends beyond the subset.
+        """
         candidate_set = self.candidate_set
-        if explore:
-            return self._choose_among(request, now, [b for b in candidate_set.reserve if not b.attempts_out])
+        if is_exploratory:
+            return self._choose_among(
+                request, now, [b for b in candidate_set.reserve if not b.attempts_in_flight]
+            )
         is_early_attempt = len(request.attempts.sent) < SUBSET_ATTEMPTS
         preferred = candidate_set.subset if is_early_attempt else candidate_set.reserve
         chosen = self._choose_among(request, now, candidate_set.sample(preferred, MAX_COMPARED))
@@ -117,55 +124,59 @@
     def _choose_among(
         self, request: PendingRequest, now: float, compared: list[TrackedBackend]
     ) -> TrackedBackend | None:
-        """The least loaded of the backends that may get the request now; None if there is none."""
+        """Return the least loaded of the backends that may get the request now, or None if none may."""
         usable = [b for b in compared if request.may_send(b, now, self.settings)]
-        healthy = self._healthy_ids(usable, now)
+        healthy_ids = self._find_healthy_ids(usable, now)
         more_can_be_compared = len(compared) < len(self.candidate_set.candidates)
-        if not healthy and more_can_be_compared:
-            return None  # a comparison of more backends shows whether the cause is a common one
-        eligible = self._eligible(request, now, usable, healthy)
-        chosen = self._least_loaded(request, now, eligible)
+        if not healthy_ids and more_can_be_compared:
+            return None  # the caller compares more backends, which shows whether all share a common fault
+        eligible = self._find_eligible_backends(request, now, usable, healthy_ids)
+        chosen = self._find_least_loaded(request, now, eligible)
         if chosen is not None and chosen.is_warming_up(now, self.settings):
-            chosen.slow_start_budget.take(self.answer_times.work(request))
+            chosen.slow_start_budget.take(self.answer_times.expected_work(request))
         return chosen
 
-    def _healthy_ids(self, backends: list[TrackedBackend], now: float) -> set[str]:
-        """The ids of those that are neither ejected nor stalled.
+    def _find_healthy_ids(self, backends: list[TrackedBackend], now: float) -> set[str]:
+        """Return the ids of the backends that are neither ejected nor stalled.
 
-        A backend that died without closing its connections, or is many times slower than others, would
-        otherwise look idle until its attempts time out."""
-        longest_mean = max(self.answer_times.means.values(), default=self.longest_objective)
+        A backend that died without closing its connections, or that is many times slower than others, would
+        otherwise look idle until its attempts time out.
+        """
+        longest_mean = max(self.answer_times.mean_by_class.values(), default=self.longest_objective)
         max_silence = STALL_FACTOR * longest_mean
-        return {b.info.id for b in backends if b.silent_for(now) <= max_silence and not b.is_ejected(now)}
+        return {
+            b.info.id for b in backends if b.silence_duration(now) <= max_silence and not b.is_ejected(now)
+        }
 
-    def _eligible(
-        self, request: PendingRequest, now: float, usable: list[TrackedBackend], healthy: set[str]
+    def _find_eligible_backends(
+        self, request: PendingRequest, now: float, usable: list[TrackedBackend], healthy_ids: set[str]
     ) -> list[TrackedBackend]:
-        """Those of the usable backends that have room and are healthy, and, if possible, not yet tried.
-
-        Where most are unhealthy the cause is likely a common one, so that all are used; except those that
-        refuse connections, which would draw all requests, as they look idle."""
-        in_panic = len(healthy) < MIN_HEALTHY_SHARE * len(usable)
-        tried = {attempt.backend.info.id for attempt in request.attempts.sent}
-        skips_tried = len(usable) > len(tried)
+        """Return the usable backends that are healthy, have room and, if possible, were not tried yet.
+
+        If most backends are unhealthy, the cause is probably a common one, and the unhealthy ones are used
+        too.  Backends that refuse connections remain excluded: they look idle and would get all requests.
+        """
+        in_panic = len(healthy_ids) < MIN_HEALTHY_SHARE * len(usable)
+        tried_ids = {attempt.backend.info.id for attempt in request.attempts.sent}
+        skips_tried = len(usable) > len(tried_ids)
         eligible = []
         for backend in usable:
-            name = backend.info.id
-            if name not in healthy and (backend.ejection.unreachable or not in_panic):
+            backend_id = backend.info.id
+            if backend_id not in healthy_ids and (backend.ejection.is_unreachable or not in_panic):
                 continue
-            if skips_tried and name in tried:
+            if skips_tried and backend_id in tried_ids:
                 continue
             # An overloaded backend may answer nothing, so that no answer would decrease its limit.
-            if backend.silent_for(now) > self.longest_objective:
+            if backend.silence_duration(now) > self.longest_objective:
                 backend.decrease_limit(now, DECREASE_INTERVAL_SHARE * self.longest_objective)
-            if len(backend.attempts_out) < backend.concurrency.limit:
+            if len(backend.attempts_in_flight) < backend.concurrency_limit.limit:
                 eligible.append(backend)
         return eligible
 
-    def _least_loaded(
+    def _find_least_loaded(
         self, request: PendingRequest, now: float, eligible: list[TrackedBackend]
     ) -> TrackedBackend | None:
-        """The backend with the lowest load score of those that slow start allows."""
+        """Return the backend with the lowest load score among those that slow start allows."""
         chosen = None
         lowest_score = float("inf")
         mean = self.answer_times.mean(request.request_class)
--- a/ingress/decisions/hash_ring.py
+++ b/ingress/decisions/hash_ring.py
@@ -1,38 +1,41 @@
-"""A consistent hash ring: names in the order of a hash that every gateway computes alike."""
+"""A consistent hash ring: names sorted by a hash that every gateway computes alike."""
 
 from array import array
 from bisect import bisect_left
 from zlib import crc32
 
-MAX_SINGLE_CHANGES = 64  # names: beyond that, one sort is cheaper than moving the tail for each of them
-KNUTH_MULTIPLIER = 0x9E3779B1  # 2**32 over the golden ratio: neighbouring hashes end far apart
+MAX_SINGLE_CHANGES = 64  # for more names, one sort is cheaper than moving the array's tail for each of them
+KNUTH_MULTIPLIER = 0x9E3779B1  # 2**32 over the golden ratio: moves neighbouring hashes far apart
 HASH_MASK = 0xFFFFFFFF  # 32 bits
 
 
 def ring_hashes(name: str) -> tuple[int, int]:
-    """Two hashes of a name, one for each of two rings, on which the orders of names are unrelated."""
+    """Return two hashes of a name, one for each of two rings, whose orders of names are unrelated."""
     first = crc32(name.encode())
     return first, first * KNUTH_MULTIPLIER & HASH_MASK
 
 
 class HashRing:
-    """Names sorted by hash.  A change costs a binary search and the move of a compact array's tail."""
+    """Names sorted by hash.
+
+    To insert or remove one name costs a binary search and a move of the arrays' tails.
+    """
 
     def __init__(self) -> None:
         self.hashes = array("L")
         """The hash of each name, in ascending order."""
         self.names: list[str] = []
-        """The names at the same indexes; equal hashes are in the order of names."""
+        """The name at each index of `hashes`; names with equal hashes are sorted by name."""
 
     def index_of(self, hash_value: int, name: str) -> int:
-        """The index at which the name stands, or would be inserted."""
+        """Return the index of the name, or the index at which it would be inserted."""
         index = bisect_left(self.hashes, hash_value)
         while index < len(self.hashes) and self.hashes[index] == hash_value and self.names[index] < name:
             index += 1
         return index
 
     def update(self, removed: dict[str, int], added: dict[str, int]) -> None:
-        """Removes names that are on the ring and adds others; both maps lead from names to hashes."""
+        """Remove names that are on the ring and add others; both arguments map names to hashes."""
         if len(removed) + len(added) > MAX_SINGLE_CHANGES:
             self._rebuild(removed, added)
         else:
@@ -55,7 +58,7 @@
             self.names.insert(index, name)
 
     def names_from(self, start: int, count: int) -> list[str]:
-        """The `count` names from index `start` on, wrapping around the end; each name at most once."""
+        """Return up to `count` names from index `start` on, each once, wrapping around the end."""
         count = min(count, len(self.names))
         until_end = self.names[start : start + count]
         return until_end + self.names[: count - len(until_end)]
--- a/ingress/decisions/outlier_ejection.py
+++ b/ingress/decisions/outlier_ejection.py
@@ -1,67 +1,80 @@
-"""Outlier ejection: a backend that fails, or turns requests away, gets none for a pause that doubles."""
+"""Outlier ejection: a backend that fails or rejects requests gets none during a pause that doubles."""
 
 from dataclasses import dataclass
 
 import ingress.interface as api
 
-FAILURES_TO_EJECT = 3  # errors or time-outs in a row
-REJECTIONS_TO_EJECT = 2  # rejections in a row: the backend is about to leave, or full for everybody
+FAILURES_TO_EJECT = 3  # consecutive errors or time-outs
+REJECTIONS_TO_EJECT = 2  # consecutive rejections: the backend is about to shut down or is full for all
 FAILURE_PAUSE_SHARE = 0.5  # of the longest latency objective: the first pause after failures
-REJECTION_PAUSE_SHARE = 0.25  # of the longest latency objective: the first pause after rejections
+REJECTION_PAUSE_SHARE = 0.25  # of the longest latency objective: the pause after a first rejection
 MAX_FAILURE_DOUBLINGS = 4  # of the pause after failures
 MAX_REJECTION_DOUBLINGS = 5  # of the pause after rejections
 
 
 @dataclass(slots=True)
 class OutlierEjection:
-    """The failures and rejections of one backend in a row, and the pause that follows from them."""
+    """The consecutive failures and rejections of one backend, and its ejection because of them."""
 
-    retry_at: float
-    """When the pause ends (s)."""
-    failures: int = 0
-    """Failures since the last good answer."""
-    rejections: int = 0
-    """Rejections since the last answer of another kind."""
-    unreachable: bool = False
-    """Whether the last failure was one of the connection."""
+    ejected_until: float
+    """Time at which the pause ends (s)."""
+    consecutive_failures: int = 0
+    """Number of failures since the last successful answer."""
+    consecutive_rejections: int = 0
+    """Number of rejections since the last answer of another kind."""
+    is_unreachable: bool = False
+    """Whether the last failure was a failed or reset connection."""
 
     def record_failure(self, now: float, outcome: api.Outcome, longest_objective: float) -> None:
-        """Counts a failed attempt; ejects at once for a failed connection, else after several failures."""
-        self.failures += 1
-        self.unreachable = outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.RESET)
-        excess = self.failures - (0 if self.unreachable else FAILURES_TO_EJECT - 1)
+        """Count a failed attempt.
+
+        Eject the backend at once if its connection failed, otherwise after several failures.
+        """
+        self.consecutive_failures += 1
+        self.is_unreachable = outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.RESET)
+        excess = self.consecutive_failures - (0 if self.is_unreachable else FAILURES_TO_EJECT - 1)
         if excess > 0:
             doublings = min(excess - 1, MAX_FAILURE_DOUBLINGS)
-            self.retry_at = now + FAILURE_PAUSE_SHARE * longest_objective * 2.0**doublings
+            self.ejected_until = now + FAILURE_PAUSE_SHARE * longest_objective * 2.0**doublings
 
     def record_rejection(self, now: float, is_busy: bool, longest_objective: float) -> bool:
-        """Counts a rejected request; returns whether the backend is ejected for it.
+        """Count a rejected request and return whether the backend is ejected for it.
 
         One rejection by a backend that answers others quickly (not `is_busy`) may be due to the request
-        alone; a backend that drains rejects every request."""
-        self.rejections += 1
-        if not is_busy and self.rejections < REJECTIONS_TO_EJECT:
+        alone; a backend that is draining rejects every request.
+        """
+        self.consecutive_rejections += 1
+        if not is_busy and self.consecutive_rejections < REJECTIONS_TO_EJECT:
             return False
-        doublings = min(self.rejections - 1, MAX_REJECTION_DOUBLINGS)
+        doublings = min(self.consecutive_rejections - 1, MAX_REJECTION_DOUBLINGS)
         pause = REJECTION_PAUSE_SHARE * longest_objective * 2.0**doublings
-        self.retry_at = max(self.retry_at, now + pause)
+        self.ejected_until = max(self.ejected_until, now + pause)
         return True
 
     def record_answer(self) -> None:
-        """An answer, or a time-out, ends a row of rejections."""
-        self.rejections = 0
+        """Reset the count of consecutive rejections after an answer or a time-out."""
+        self.consecutive_rejections = 0
 
     def clear_failures(self) -> None:
-        """A good answer came: earlier failures count no more."""
-        self.failures = 0
-        self.unreachable = False
+        """Reset the count of consecutive failures after a successful answer."""
+        self.consecutive_failures = 0
+        self.is_unreachable = False
+
+    def mark_suspect(self) -> None:
+        """Raise the count of failures to one below the number that ejects the backend.
+
+        The caller uses this when an attempt has timed out and the backend has answered nothing since the
+        attempt was sent.
+        """
+        self.consecutive_failures = max(self.consecutive_failures, FAILURES_TO_EJECT - 1)
 
-    def suspect(self) -> None:
-        """No answer has come since an attempt that timed out: one more failure ejects the backend."""
-        self.failures = max(self.failures, FAILURES_TO_EJECT - 1)
+    def is_ejected(self, now: float, has_attempts_in_flight: bool) -> bool:
+        """Return whether the backend may get no attempt now.
 
-    def is_ejected(self, now: float, has_attempts_out: bool) -> bool:
-        """Whether the backend gets nothing now.  After the pause, one attempt at a time probes it."""
-        if now < self.retry_at:
+        After a pause for failures, one attempt at a time probes the backend until one succeeds.
+        """
+        if now < self.ejected_until:
             return True
-        return has_attempts_out and (self.unreachable or self.failures >= FAILURES_TO_EJECT)
+        return has_attempts_in_flight and (
+            self.is_unreachable or self.consecutive_failures >= FAILURES_TO_EJECT
+        )
--- a/tests/decisions/test_answer_times.py
+++ b/tests/decisions/test_answer_times.py
@@ -1,4 +1,4 @@
-"""Mean answer times, and the expected work of a request."""
+"""Tests of the mean answer times and of the expected work of a request."""
 
 from __future__ import annotations
 
@@ -8,30 +8,30 @@
 from tests.support.gateway import IDEMPOTENT, SETTINGS, Play, sends
 
 
-def test_the_work_of_a_request_is_relative_to_the_mean_request() -> None:
+def test_expected_work_is_relative_to_the_mean_request() -> None:
     play = Play()
-    times = play.gateway.answer_times
-    times.means = {"read": 0.1, "order": 0.1, "pay": 0.4}
+    answer_times = play.gateway.answer_times
+    answer_times.mean_by_class = {"read": 0.1, "order": 0.1, "pay": 0.4}
     assert sends(play.ask(request_class="pay"))
-    assert times.work(play.gateway.requests["r1"]) == pytest.approx(2.0)
+    assert answer_times.expected_work(play.gateway.requests["r1"]) == pytest.approx(2.0)
 
 
-def test_a_part_of_the_objective_stands_for_the_mean_until_an_answer_comes() -> None:
-    times = AnswerTimes(SETTINGS)
-    assert times.mean(IDEMPOTENT) == IDEMPOTENT.latency_objective / 8
-    times.record(IDEMPOTENT, 0.5)
-    assert times.mean(IDEMPOTENT) == 0.5
+def test_mean_before_the_first_answer_is_a_fraction_of_the_objective() -> None:
+    answer_times = AnswerTimes(SETTINGS)
+    assert answer_times.mean(IDEMPOTENT) == IDEMPOTENT.latency_objective / 8
+    answer_times.record(IDEMPOTENT, 0.5)
+    assert answer_times.mean(IDEMPOTENT) == 0.5
 
 
-def test_an_answer_beyond_the_objective_counts_as_the_objective() -> None:
-    times, capped = AnswerTimes(SETTINGS), AnswerTimes(SETTINGS)
-    for each, latency in ((times, 3.0), (capped, IDEMPOTENT.latency_objective)):
-        each.record(IDEMPOTENT, 0.1)
-        each.record(IDEMPOTENT, latency)
-    assert times.mean(IDEMPOTENT) == capped.mean(IDEMPOTENT) > 0.1
+def test_answer_slower_than_the_objective_counts_as_the_objective() -> None:
+    answer_times, capped_times = AnswerTimes(SETTINGS), AnswerTimes(SETTINGS)
+    for recorder, latency in ((answer_times, 3.0), (capped_times, IDEMPOTENT.latency_objective)):
+        recorder.record(IDEMPOTENT, 0.1)
+        recorder.record(IDEMPOTENT, latency)
+    assert answer_times.mean(IDEMPOTENT) == capped_times.mean(IDEMPOTENT) > 0.1
 
 
-def test_no_mean_is_below_the_resolution_of_the_clock() -> None:
-    times = AnswerTimes(SETTINGS)
-    times.record(IDEMPOTENT, 0.0)
-    assert times.mean(IDEMPOTENT) == SETTINGS.tick
+def test_mean_is_at_least_the_resolution_of_the_clock() -> None:
+    answer_times = AnswerTimes(SETTINGS)
+    answer_times.record(IDEMPOTENT, 0.0)
+    assert answer_times.mean(IDEMPOTENT) == SETTINGS.tick
--- a/tests/decisions/test_balancer_cost.py
+++ b/tests/decisions/test_balancer_cost.py
@@ -1,4 +1,4 @@
-"""The balancer's cost in function calls, which do not depend on the machine."""
+"""Tests of the balancer's cost, measured in function calls, which do not depend on the machine."""
 
 from __future__ import annotations
 
@@ -25,62 +25,62 @@
 from tests.support.gateway import SETTINGS, sends
 
 
-def calls(action: Callable[[], object]) -> int:
-    """How many function calls an action takes."""
+def count_calls(action: Callable[[], object]) -> int:
+    """Return how many function calls an action makes."""
     profile = cProfile.Profile()
     profile.runcall(action)
     return int(pstats.Stats(profile).total_calls)  # type: ignore[attr-defined]
 
 
-def loaded(settings: Settings, count: int) -> tuple[Gateway, float]:
-    """A gateway with `count` backends that has served 100 requests, and the time (s)."""
+def create_warmed_up_gateway(settings: Settings, count: int) -> tuple[Gateway, float]:
+    """Return a gateway with `count` backends that has served 100 requests, and the current time (s)."""
     now = 100.0
     gateway = Gateway(settings, 1)
     gateway.handle(now, EndpointUpdate(EndpointUpdateKind.RESTORED, backends(count)))
     for number in range(100):
         now += 0.01
-        serve(gateway, now, f"w{number}")
+        serve_request(gateway, now, f"w{number}")
     return gateway, now
 
 
-def serve(gateway: Gateway, now: float, name: str) -> None:
-    """A request of that id and the answers to its attempts, at one time."""
+def serve_request(gateway: Gateway, now: float, name: str) -> None:
+    """Send a request with the id `name` and answer its attempts, all at the time `now`."""
     for sent in sends(gateway.handle(now, Request(name, "read", "basic", "c", 4.0))):
         gateway.handle(now, AttemptEnded(sent.id, 0, sent.backend, Outcome.OK, 0.05, True))
 
 
 @pytest.mark.parametrize("gateways", [400, 3400])
-def test_a_request_costs_the_same_at_a_hundred_times_as_many_backends(gateways: int) -> None:
+def test_cost_of_a_request_does_not_grow_with_the_number_of_backends(gateways: int) -> None:
     costs = {}
     for count in (200, 20_000):
-        gateway, now = loaded(replace(MANY_GATEWAYS, instance_count=gateways), count)
+        gateway, now = create_warmed_up_gateway(replace(MANY_GATEWAYS, instance_count=gateways), count)
         costs[count] = [
-            calls(lambda gateway=gateway, now=now, n=n: serve(gateway, now, f"r{n}"))  # type: ignore[misc]
+            count_calls(lambda gateway=gateway, now=now, n=n: serve_request(gateway, now, f"r{n}"))  # type: ignore[misc]
             for n in range(40)
         ]
-    assert sum(costs[20_000]) <= 3.0 * sum(costs[200])  # 32 are compared in place of 12
+    assert sum(costs[20_000]) <= 3.0 * sum(costs[200])  # 32 backends are compared instead of 12
     if 20_000 * MIN_HOLDERS / gateways <= SUBSET_SIZE:
         assert sum(costs[20_000]) <= 1.1 * sum(costs[200])
 
 
-def test_a_request_that_finds_no_room_compares_a_bounded_number() -> None:
-    gateway, now = loaded(MANY_GATEWAYS, 20_000)
+def test_request_without_available_backend_compares_a_bounded_number() -> None:
+    gateway, now = create_warmed_up_gateway(MANY_GATEWAYS, 20_000)
     for backend in gateway.balancer.candidates:
         backend.record_failure(now, Outcome.CONNECT_FAILED, 60.0)
     compared = MAX_COMPARED + MAX_FALLBACK_COMPARED + MAX_SAMPLED_READY
-    assert calls(lambda: serve(gateway, now, "r")) < 15 * compared + 1000
+    assert count_calls(lambda: serve_request(gateway, now, "r")) < 15 * compared + 1000
 
 
-def test_a_change_of_one_entry_costs_the_same_at_a_hundred_times_as_many_backends() -> None:
+def test_cost_of_a_changed_entry_does_not_grow_with_the_number_of_backends() -> None:
     costs = []
     for gateways, count in ((40, 200), (3400, 20_000)):
-        gateway, now = loaded(replace(MANY_GATEWAYS, instance_count=gateways), count)
+        gateway, now = create_warmed_up_gateway(replace(MANY_GATEWAYS, instance_count=gateways), count)
         change = EndpointUpdate(EndpointUpdateKind.UPDATE, (Backend("new"),))
-        costs.append(calls(lambda gateway=gateway, now=now, change=change: gateway.handle(now, change)))  # type: ignore[misc]
+        costs.append(count_calls(lambda gateway=gateway, now=now, change=change: gateway.handle(now, change)))  # type: ignore[misc]
     assert costs[1] <= 3 * costs[0]
 
 
-def test_counting_the_holders_of_a_backend_visits_few_gateways() -> None:
+def test_counting_the_gateways_that_prefer_a_backend_visits_few_gateways() -> None:
     subsetting = Subsetting(replace(SETTINGS, instance_count=3400))
     subsetting.update([], [f"b{n}" for n in range(20_000)])
-    assert calls(lambda: subsetting.holders("b7")) < 340
+    assert count_calls(lambda: subsetting.count_gateways_preferring("b7")) < 340
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -1,4 +1,4 @@
-"""The concurrency limit of a backend: how it begins, rises and shrinks."""
+"""Tests of a backend's concurrency limit: its initial value, increases and decreases."""
 
 from __future__ import annotations
 
@@ -10,7 +10,7 @@
 from tests.support.gateway import FLEET, Play, sends
 
 
-def test_the_first_seconds_do_not_fill_the_backends() -> None:
+def test_new_gateway_starts_with_few_attempts_in_flight() -> None:
     play = Play(UNLIMITED)
     for _ in range(100):
         play.ask(0.0)
@@ -20,65 +20,65 @@
     assert len(sends([a for _ in range(100) for a in play.ask(0.0)])) > len(FLEET) / 2
 
 
-def test_silence_decreases_a_limit_without_any_answer() -> None:
+def test_limit_decreases_if_no_answers_come() -> None:
     play = Play(UNLIMITED)
     answer_all(play, 0.05)
-    for backend in play.gateway.balancer.backends.values():
+    for backend in play.gateway.balancer.tracked_backends.values():
         backend.set_limit(20.0)
     for _ in range(40):
         play.ask(0.0)
-    before = sum(b.limit for b in play.gateway.balancer.backends.values())
+    initial_sum = sum(b.limit for b in play.gateway.balancer.tracked_backends.values())
     for _ in range(20):
         play.ask(0.5)
-    assert sum(b.limit for b in play.gateway.balancer.backends.values()) < before / 2
+    assert sum(b.limit for b in play.gateway.balancer.tracked_backends.values()) < initial_sum / 2
 
 
-def test_a_lost_attempt_keeps_the_limit_of_a_backend_that_answers_others() -> None:
+def test_lost_attempt_does_not_decrease_the_limit_while_others_are_answered() -> None:
     play = Play(UNLIMITED, FLEET[:1])
-    [backend] = play.gateway.balancer.backends.values()
+    [backend] = play.gateway.balancer.tracked_backends.values()
     answer_all(play, 0.05, 30)
-    [lost] = sends(play.ask())
+    [lost_attempt] = sends(play.ask())
     backend.set_limit(10.0)
-    for _ in range(20):  # for longer than any latency objective
+    for _ in range(20):  # 4 s: longer than any latency objective
         [sent] = sends(play.ask(0.2))
         play.end(sent, Outcome.OK, 0.05)
     assert backend.limit >= 10.0
     assert play.gateway.overload.shed_share(play.now) < 0
-    play.end(lost, Outcome.TIMEOUT, 0.0)
+    play.end(lost_attempt, Outcome.TIMEOUT, 0.0)
     assert backend.limit >= 10.0
-    assert backend.concurrency.mean_latency_share < BUSY_LATENCY_SHARE
+    assert backend.concurrency_limit.mean_latency_share < BUSY_LATENCY_SHARE
 
 
-def test_a_timeout_with_no_answer_since_decreases_a_limit() -> None:
+def test_timeout_without_any_answer_since_decreases_the_limit() -> None:
     play = Play(UNLIMITED, FLEET[:1])
-    [backend] = play.gateway.balancer.backends.values()
+    [backend] = play.gateway.balancer.tracked_backends.values()
     answer_all(play, 0.05, 30)
-    [lost] = sends(play.ask())
+    [lost_attempt] = sends(play.ask())
     backend.set_limit(10.0)
-    play.end(lost, Outcome.TIMEOUT, 4.0)
+    play.end(lost_attempt, Outcome.TIMEOUT, 4.0)
     assert backend.limit < 10.0
-    assert backend.concurrency.mean_latency_share > BUSY_LATENCY_SHARE
+    assert backend.concurrency_limit.mean_latency_share > BUSY_LATENCY_SHARE
 
 
-QUICK = BUSY_LATENCY_SHARE / 2  # s, for a latency objective of 1 s
+QUICK_LATENCY_S = BUSY_LATENCY_SHARE / 2  # for a latency objective of 1 s
 
 
-def test_quick_answers_raise_a_limit_by_one_each_until_it_was_decreased() -> None:
+def test_quick_answer_raises_the_limit_by_one_until_the_first_decrease() -> None:
     limit = ConcurrencyLimit(decreased_at=0.0)
-    assert limit.record_answer(1.0, QUICK, 1.0, in_flight=0) == 1.0
+    assert limit.record_answer(1.0, QUICK_LATENCY_S, 1.0, in_flight=0) == 1.0
     assert limit.limit == 2.0
-    limit.change_to(8.0)
+    limit.set_limit(8.0)
     limit.was_decreased = True
-    assert limit.record_answer(1.0, QUICK, 1.0, in_flight=7) == pytest.approx(1 / 8)
+    assert limit.record_answer(1.0, QUICK_LATENCY_S, 1.0, in_flight=7) == pytest.approx(1 / 8)
 
 
-def test_quick_answers_do_not_raise_a_limit_that_is_hardly_used() -> None:
+def test_quick_answer_does_not_raise_a_limit_that_is_hardly_used() -> None:
     limit = ConcurrencyLimit(decreased_at=0.0, limit=8.0)
-    assert limit.record_answer(1.0, QUICK, 1.0, in_flight=1) == 0.0
-    assert limit.record_answer(1.0, QUICK, 1.0, in_flight=2) == 1.0
+    assert limit.record_answer(1.0, QUICK_LATENCY_S, 1.0, in_flight=1) == 0.0
+    assert limit.record_answer(1.0, QUICK_LATENCY_S, 1.0, in_flight=2) == 1.0
 
 
-def test_a_limit_shrinks_from_its_use_at_most_once_an_interval() -> None:
+def test_limit_decreases_from_the_number_in_flight_at_most_once_per_interval() -> None:
     limit = ConcurrencyLimit(decreased_at=0.0, limit=100.0)
     assert limit.decrease(0.4, min_interval=0.5, in_flight=9) == 0.0
     assert limit.decrease(0.5, min_interval=0.5, in_flight=9) == pytest.approx(10 * DECREASE_FACTOR - 100)
--- a/tests/decisions/test_fallback.py
+++ b/tests/decisions/test_fallback.py
@@ -1,4 +1,4 @@
-"""What the balancer uses once the subset, the reserve or a zone is lost or overloaded."""
+"""Tests of which backends the balancer uses if the subset, the reserve or a zone is down or overloaded."""
 
 from __future__ import annotations
 
@@ -26,42 +26,43 @@
 from tests.support.gateway import Play, sends
 
 
-def test_other_backends_are_used_when_the_subset_is_ejected() -> None:
+def test_other_backends_are_used_if_the_subset_is_ejected() -> None:
     play = Play(replace(UNLIMITED, instance_count=20), (Backend(f"b{n}") for n in range(40)))
     subset = list(play.gateway.balancer.subset)
     for backend in subset:
         backend.record_failure(play.now, Outcome.CONNECT_FAILED, 60.0)
-        backend.attempts_out["other", 0] = play.now  # the attempt that probes it
+        backend.attempts_in_flight["other", 0] = play.now  # the one attempt that may probe it
     sent = sends(play.ask(0.01))
     assert sent
     assert sent[0].backend not in {b.info.id for b in subset}
 
 
 @pytest.mark.parametrize("count", [60, 300, 3000])
-def test_losing_the_whole_subset_rejects_nothing_while_others_are_idle(count: int) -> None:
+def test_requests_are_served_by_others_if_the_whole_subset_is_down(count: int) -> None:
     play = Play(MANY_GATEWAYS, backends(count))
     assert len(answer_rounds(play, lambda name: False, 60)) == 60
-    lost = {b.info.id for b in play.gateway.balancer.subset}
+    lost_ids = {b.info.id for b in play.gateway.balancer.subset}
     play.gateway.retry_policy.budget.level = 10.0
-    answered = answer_rounds(play, lost.__contains__, 100)
-    assert len(answered) >= 98  # only the first may meet more dead backends than a request has attempts
+    answered = answer_rounds(play, lost_ids.__contains__, 100)
+    assert len(answered) >= 98  # only the first requests may run out of attempts
     assert len(set(answered)) > 10
 
 
-def test_losing_the_subset_and_the_reserve_leaves_all_other_backends() -> None:
+def test_requests_are_served_by_others_if_subset_and_reserve_are_down() -> None:
     play = Play(replace(MANY_GATEWAYS, max_attempts=30), backends(3000))
     answer_rounds(play, lambda name: False, 60)
-    lost = {b.info.id for b in play.gateway.balancer.candidates}
-    assert len(lost) == len(play.gateway.balancer.subset) + RESERVE_SIZE
+    lost_ids = {b.info.id for b in play.gateway.balancer.candidates}
+    assert len(lost_ids) == len(play.gateway.balancer.subset) + RESERVE_SIZE
     for backend in play.gateway.balancer.candidates:
         backend.record_failure(play.now, Outcome.CONNECT_FAILED, 60.0)
-    answered = answer_rounds(play, lost.__contains__, 60)
+    answered = answer_rounds(play, lost_ids.__contains__, 60)
     assert len(answered) == 60
-    assert len(play.gateway.balancer.backends) == len(lost)  # no other is tracked once its attempt has ended
+    # Backends that are not candidates are no longer tracked after their attempts have ended.
+    assert len(play.gateway.balancer.tracked_backends) == len(lost_ids)
 
 
 @pytest.mark.parametrize("count", [60, 300, 3000])
-def test_losing_a_zone_rejects_nothing_while_the_others_are_idle(count: int) -> None:
+def test_requests_are_served_by_other_zones_if_one_zone_is_down(count: int) -> None:
     play = Play(MANY_GATEWAYS, backends(count))
     answer_rounds(play, lambda name: False, 60)
     answered = answer_rounds(play, lambda name: int(name[1:]) % 3 == 0, 200)
@@ -70,112 +71,120 @@
 
 
 class SilentBackendsScenario:
-    """A gateway in simulated time, some of whose backends stop answering while the list keeps them ready.
+    """A gateway in simulated time; some backends stop answering but remain ready in the endpoint list.
 
-    Requests arrive in a Poisson process; backends answer after MEAN_LATENCY_S on the mean."""
+    Requests arrive in a Poisson process, and backends answer after MEAN_LATENCY_S on average.
+    """
 
-    START = 100.0  # s: the first requests
-    LOST_AT = 110.0  # s: from here on some backends answer nothing more
-    REQUESTS_END = 114.0  # s: the last request
-    END = 120.0  # s: events after it are ignored
+    START_S = 100.0  # time from which requests arrive
+    SILENT_FROM_S = 110.0  # time from which the silent backends do not answer
+    REQUESTS_END_S = 114.0  # time until which requests arrive
+    END_S = 120.0  # time from which events are ignored
     MEAN_LATENCY_S = 0.15
 
-    def __init__(self, gateways: int, count: int, rate: float, seed: int) -> None:
+    def __init__(self, gateway_count: int, backend_count: int, requests_per_s: float, seed: int) -> None:
         self.rng = Random(seed)
-        self.rate = rate
-        self.gateway = Gateway(replace(MANY_GATEWAYS, instance_count=gateways), seed)
-        self.gateway.handle(self.START, EndpointUpdate(EndpointUpdateKind.RESTORED, backends(count)))
-        self.queue: list[tuple[float, int, Event]] = []
-        self.numbers = count_from(0)
-        self.requests = 0  # from LOST_AT on
-        self.answered = 0  # of these
-        self.attempts: dict[str, int] = {}  # how many each of these has had, by its id
-
-    def share_answered(self, lost: Callable[[Gateway], set[str]]) -> float:
-        """The share of the requests after LOST_AT that are answered."""
+        self.requests_per_s = requests_per_s
+        self.gateway = Gateway(replace(MANY_GATEWAYS, instance_count=gateway_count), seed)
+        self.gateway.handle(
+            self.START_S, EndpointUpdate(EndpointUpdateKind.RESTORED, backends(backend_count))
+        )
+        self.events: list[tuple[float, int, Event]] = []
+        self.sequence_numbers = count_from(0)
+        self.request_count = 0  # since SILENT_FROM_S
+        self.answered_count = 0  # of these requests
+        self.attempt_counts: dict[str, int] = {}  # of each of these requests, by request id
+
+    def run(self, select_silent: Callable[[Gateway], set[str]]) -> float:
+        """Return the answered share of the requests since SILENT_FROM_S.
+
+        `select_silent` returns the ids of the backends that stop answering.
+        """
         self._schedule_requests()
-        silent: set[str] = set()
-        while self.queue and self.queue[0][0] < self.END:
-            at, _, event = heappop(self.queue)
-            if at >= self.LOST_AT and not silent:
-                silent = lost(self.gateway)
-            self._count(at, event)
+        silent_ids: set[str] = set()
+        while self.events and self.events[0][0] < self.END_S:
+            at, _, event = heappop(self.events)
+            if at >= self.SILENT_FROM_S and not silent_ids:
+                silent_ids = select_silent(self.gateway)
+            self._count_event(at, event)
             for sent in sends(self.gateway.handle(at, event)):
-                self._answer(at, sent, silent if at >= self.LOST_AT else set())
-        return self.answered / self.requests
+                self._schedule_answer(at, sent, silent_ids if at >= self.SILENT_FROM_S else set())
+        return self.answered_count / self.request_count
 
     def _schedule_requests(self) -> None:
-        now = self.START
-        while now < self.REQUESTS_END:
-            now += self.rng.expovariate(self.rate)
-            number = next(self.numbers)
+        now = self.START_S
+        while now < self.REQUESTS_END_S:
+            now += self.rng.expovariate(self.requests_per_s)
+            number = next(self.sequence_numbers)
             customer = f"c{number % 300}"
             self._push(now, Request(f"r{number}", "read", "basic", customer, 4.0, assigned_instances=3))
 
     def _push(self, at: float, event: Event) -> None:
-        heappush(self.queue, (at, next(self.numbers), event))
-
-    def _count(self, at: float, event: Event) -> None:
-        if isinstance(event, Request) and at >= self.LOST_AT:
-            self.requests += 1
-            self.attempts[event.id] = 0
-        elif isinstance(event, AttemptEnded) and event.id in self.attempts:
-            self.answered += event.outcome is Outcome.OK
-
-    def _answer(self, at: float, sent: SendAttempt, silent: set[str]) -> None:
-        number = self.attempts.get(sent.id, 0)
-        if sent.id in self.attempts:
-            self.attempts[sent.id] = number + 1
-        is_silent = sent.backend in silent
+        heappush(self.events, (at, next(self.sequence_numbers), event))
+
+    def _count_event(self, at: float, event: Event) -> None:
+        if isinstance(event, Request) and at >= self.SILENT_FROM_S:
+            self.request_count += 1
+            self.attempt_counts[event.id] = 0
+        elif isinstance(event, AttemptEnded) and event.id in self.attempt_counts:
+            self.answered_count += event.outcome is Outcome.OK
+
+    def _schedule_answer(self, at: float, sent: SendAttempt, silent_ids: set[str]) -> None:
+        number = self.attempt_counts.get(sent.id, 0)
+        if sent.id in self.attempt_counts:
+            self.attempt_counts[sent.id] = number + 1
+        is_silent = sent.backend in silent_ids
         latency = sent.timeout if is_silent else self.rng.gammavariate(4.0, self.MEAN_LATENCY_S / 4)
         outcome = Outcome.TIMEOUT if is_silent else Outcome.OK
         ended = AttemptEnded(sent.id, number, sent.backend, outcome, latency, not is_silent)
         self._push(at + latency, ended)
 
 
-def own_subset(gateway: Gateway) -> set[str]:
+def select_subset(gateway: Gateway) -> set[str]:
     return {backend.info.id for backend in gateway.balancer.subset}
 
 
-def one_zone(gateway: Gateway) -> set[str]:
+def select_zone_a(gateway: Gateway) -> set[str]:
     return {name for name, info in gateway.balancer.ready_backends.items() if info.zone == "a"}
 
 
 @pytest.mark.parametrize(
     ("gateways", "count", "rate", "min_share"), [(3400, 2000, 200.0, 0.85), (200, 200, 20.0, 0.2)]
 )
-def test_a_subset_that_falls_silent_at_once_leaves_the_other_backends(
+def test_requests_are_served_by_others_if_the_whole_subset_stops_answering(
     gateways: int, count: int, rate: float, min_share: float
 ) -> None:
-    """At 20 requests a second all were rejected for seconds: attempts that hang look like an overload."""
-    shares = [
-        SilentBackendsScenario(gateways, count, rate, seed).share_answered(own_subset) for seed in (1, 2)
-    ]
+    """Guard against taking attempts that hang for an overload.
+
+    At 20 requests per second, this mistake led to seconds in which all requests were rejected.
+    """
+    shares = [SilentBackendsScenario(gateways, count, rate, seed).run(select_subset) for seed in (1, 2)]
     assert min(shares) >= min_share
 
 
 @pytest.mark.parametrize(
     ("gateways", "count", "rate", "min_share"), [(3400, 2000, 200.0, 0.95), (200, 200, 20.0, 0.7)]
 )
-def test_a_zone_that_falls_silent_leaves_the_other_zones(
+def test_requests_are_served_by_other_zones_if_one_zone_stops_answering(
     gateways: int, count: int, rate: float, min_share: float
 ) -> None:
-    shares = [SilentBackendsScenario(gateways, count, rate, seed).share_answered(one_zone) for seed in (1, 2)]
+    shares = [SilentBackendsScenario(gateways, count, rate, seed).run(select_zone_a) for seed in (1, 2)]
     assert min(shares) >= min_share
 
 
-def test_in_an_overload_one_exploratory_attempt_at_a_time_goes_to_the_reserve() -> None:
+def test_overload_sends_one_exploratory_attempt_at_a_time_to_the_reserve() -> None:
     play = Play(replace(MANY_GATEWAYS, instance_count=300), backends(80))
     play.ask()
     play.gateway.overload.mean_in_flight_weight = 1e3
     assert len(sends(play.ask())) == 1
-    [explored] = [
+    [exploratory] = [
         attempt
         for key, attempt in play.gateway.attempts.in_flight.items()
         if key == play.gateway.overload.exploratory_attempt
     ]
-    backend = explored.sent.backend
+    backend = exploratory.sent.backend
     assert backend not in play.gateway.balancer.subset
-    assert not any(sends(play.ask(0.01)) for _ in range(10))  # an overload, as far as is known
-    play.at(0.0, AttemptEnded(explored.request.id, 0, backend.info.id, Outcome.OK, 0.1, True))
+    # Until the exploratory attempt is answered, the overload may extend beyond the subset.
+    assert not any(sends(play.ask(0.01)) for _ in range(10))
+    play.at(0.0, AttemptEnded(exploratory.request.id, 0, backend.info.id, Outcome.OK, 0.1, True))
     assert sends(play.ask(0.01))
--- a/tests/decisions/test_hash_ring.py
+++ b/tests/decisions/test_hash_ring.py
@@ -1,4 +1,4 @@
-"""A hash ring: its order after changes, and reads that wrap around."""
+"""Tests of the hash ring: its order after changes, and reads that wrap around the end."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 from ingress.decisions.hash_ring import MAX_SINGLE_CHANGES, HashRing, ring_hashes
 
 
-def test_a_ring_changed_in_steps_equals_one_built_at_once() -> None:
+def test_ring_changed_in_steps_equals_a_ring_built_at_once() -> None:
     rng = Random(5)
     names = [f"n{n}" for n in range(400)]
     ring = HashRing()
@@ -24,7 +24,7 @@
     assert ring.names_from(0, 10_000) == ring.names
 
 
-def test_equal_hashes_are_in_the_order_of_names() -> None:
+def test_names_with_equal_hashes_are_sorted_by_name() -> None:
     ring = HashRing()
     ring.update({}, {"b": 7, "c": 7})
     ring.update({}, {"a": 7, "d": 3})
