--- a/ingress/counter/messages.py
+++ b/ingress/counter/messages.py
@@ -1,6 +1,7 @@
-"""The counter's line protocol: `add <name> <amount> <lifetime in ms>`, answered in order.
+"""The counter's line protocol: a call is `add <name> <amount> <lifetime in ms>`; answers come in order.
 
-Answers are `ok <total>`, `busy` (try later, nothing was added) and `error` (the call was refused).
+An answer is `ok <total>`, `busy` (nothing was added; the client may try again later) or `error` (the call is
+invalid).
 """
 
 from __future__ import annotations
@@ -15,23 +16,23 @@
 MAX_REPLY_LINE_BYTES = 256
 MIN_LIFETIME_MS = 1
 MAX_LIFETIME_MS = 60_000
-MAX_LOGGED_BYTES = 40  # of a line that can't be interpreted
-TOTAL_REPLY = re.compile(rb"ok (-?[0-9]{1,18}(?:\.[0-9]{1,18})?(?:[eE][-+]?[0-9]{1,2})?)")
+MAX_LOGGED_BYTES = 40  # of a malformed line
+OK_ANSWER_PATTERN = re.compile(rb"ok (-?[0-9]{1,18}(?:\.[0-9]{1,18})?(?:[eE][-+]?[0-9]{1,2})?)")
 
 
 class MalformedCounterReplyError(ProtocolError):
-    """The line is no answer of the counter; nothing that follows on its connection can be trusted."""
+    """The line is not a valid answer; no later line on the connection can be trusted."""
 
 
 @dataclass(slots=True, eq=False)
 class CounterCall:
-    """One call, from the module's `IncrementCounter` to its `CounterReply`."""
+    """One call, from the decision module's `IncrementCounter` action to the `CounterReply` event."""
 
-    name: int  # of the counter
-    line: bytes  # as it is written
-    started: float  # s of the client's clock
-    is_reported: bool = False  # its one reply was given
-    timer: asyncio.TimerHandle | None = None  # fires when its time is up
+    name: int  # name of the counter to add to
+    line: bytes  # encoded call
+    started_at: float  # s, on the client's clock
+    is_reported: bool = False  # whether the `CounterReply` was passed on
+    timer: asyncio.TimerHandle | None = None  # runs until the call's time-out
 
 
 @dataclass(slots=True)
@@ -39,8 +40,8 @@
     """The counter's answer to one call."""
 
     outcome: Outcome  # OK or REJECTED
-    total: float = 0.0  # of the counter, with OK
-    is_error: bool = False  # the counter found the call itself invalid
+    total: float = 0.0  # value of the counter after the call, if the outcome is OK
+    is_error: bool = False  # whether the counter found the call invalid
 
 
 BUSY_ANSWER = CounterAnswer(Outcome.REJECTED)
@@ -48,15 +49,15 @@
 
 
 def encode_add(name: int, amount: float, lifetime_s: float) -> bytes:
-    """Return the line of a call; the lifetime is limited to what the counter accepts."""
+    """Return the line of a call; the lifetime is limited to the range that the counter accepts."""
     lifetime_ms = min(max(MIN_LIFETIME_MS, round(lifetime_s * 1000)), MAX_LIFETIME_MS)
     return b"add %d %s %d\r\n" % (name, _encode_amount(amount), lifetime_ms)
 
 
 def parse_answer(line: bytes) -> CounterAnswer:
-    """Interpret one line without its end.  Raises MalformedCounterReplyError."""
-    if total := TOTAL_REPLY.fullmatch(line):
-        return CounterAnswer(Outcome.OK, float(total[1]))
+    """Parse one line without its terminator.  Raise MalformedCounterReplyError if it is no answer."""
+    if ok_match := OK_ANSWER_PATTERN.fullmatch(line):
+        return CounterAnswer(Outcome.OK, float(ok_match[1]))
     if line == b"busy":
         return BUSY_ANSWER
     if line == b"error":
@@ -65,6 +66,6 @@
 
 
 def _encode_amount(amount: float) -> bytes:
-    """Return a plain decimal number: no exponent, no more digits than needed."""
+    """Return a decimal number without an exponent and without trailing zeros."""
     text = f"{amount:.6f}".rstrip("0").rstrip(".")
     return b"0" if text in ("", "-0") else text.encode()
--- a/ingress/decisions/balancer.py
+++ b/ingress/decisions/balancer.py
@@ -12,7 +12,7 @@
 from ingress.decisions.subset import Subsetting
 
 STALL_FACTOR = 4.0  # mean answer times: a backend that owes answers and is silent for longer has stalled
-MIN_HEALTHY_SHARE = 0.5  # of the backends compared: if fewer are healthy, ejection is suspended (panic threshold)
+MIN_HEALTHY_SHARE = 0.5  # of the compared backends; with fewer healthy, ejection is suspended (panic mode)
 SUBSET_ATTEMPTS = 2  # attempts of a request to the subset; further ones use the reserve (subset may be down)
 MAX_COMPARED = 32  # backends of the subset or the reserve that are compared for one attempt
 MAX_FALLBACK_COMPARED = 256  # candidates that are compared if none of the first sample has room
--- a/ingress/network/__init__.py
+++ b/ingress/network/__init__.py
@@ -1,1 +1,1 @@
-"""What the network packages share: frames, sockets, addresses and the clock."""
+"""Code shared by the network packages: framing, sockets, addresses, buffer budgets, logging and the clock."""
--- a/ingress/network/addresses.py
+++ b/ingress/network/addresses.py
@@ -1,4 +1,4 @@
-"""IPv4 addresses with a port: parsed from text, and packed into one number each for long lists."""
+"""IPv4 addresses with a port: parsing from text, and packing into one integer each to save memory."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 
 
 def parse_address(text: str) -> Address:
-    """Parse "host:port"; raises ValueError unless the host is an IPv4 address.
+    """Parse "host:port"; raise ValueError unless the host is an IPv4 address.
 
     Host names are not accepted: nothing resolves them, and connecting to one fails with errors of many kinds.
     """
@@ -23,7 +23,7 @@
 
 
 def parse_packed_address(text: str) -> int:
-    """Parse "host:port" into a packed address; raises ValueError unless the host is an IPv4 address."""
+    """Parse "host:port" into a packed address; raise ValueError unless the host is an IPv4 address."""
     host, _, port = text.rpartition(":")
     if not (port.isascii() and port.isdecimal()) or not 0 <= int(port) < PORT_COUNT:
         raise ValueError(f"{text!r} is not an address and port")
@@ -31,13 +31,13 @@
 
 
 def pack_address(address: Address) -> int:
-    """Pack an address into one number; raises ValueError unless the host is an IPv4 address."""
+    """Pack an address into one integer; raise ValueError unless the host is an IPv4 address."""
     host, port = address
     return _pack_host(host) << PORT_BITS | port
 
 
 def unpack_address(packed: int) -> Address:
-    """Return the address that was packed into a number."""
+    """Return the address that was packed into the integer."""
     host = (packed >> PORT_BITS).to_bytes(HOST_BYTES, "big")
     return socket.inet_ntoa(host), packed % PORT_COUNT
 
@@ -50,12 +50,12 @@
 
 
 class AddressBook(Mapping[str, Address]):
-    """The addresses of backends by their ids, each held as a packed number."""
+    """Maps backend ids to addresses, each of which is stored as a packed integer."""
 
     __slots__ = ("_packed",)
 
     def __init__(self, packed: dict[str, int] | None = None) -> None:
-        """`packed` holds packed addresses by id; the book takes it over without a copy."""
+        """Create a book from packed addresses by backend id, which it uses without making a copy."""
         self._packed = {} if packed is None else packed
 
     @classmethod
@@ -81,9 +81,9 @@
         return len(self._packed)
 
     def to_packed(self) -> dict[str, int]:
-        """Return a copy of the packed addresses by id."""
+        """Return a copy of the packed addresses, by backend id."""
         return self._packed.copy()
 
     def discard(self, name: str) -> None:
-        """Remove a backend's address, if there is one."""
+        """Remove the address of a backend, if the book has one."""
         self._packed.pop(name, None)
--- a/ingress/network/buffer_budget.py
+++ b/ingress/network/buffer_budget.py
@@ -1,4 +1,4 @@
-"""The memory that the buffers of many connections may take together."""
+"""A limit on the memory that the buffers of all connections use together."""
 
 from __future__ import annotations
 
@@ -7,15 +7,15 @@
 
 @dataclass(slots=True)
 class BufferBudget:
-    """The bytes that one kind of buffer takes on all connections, and how many they may take."""
+    """The bytes that buffers of one kind use on all connections, and the limit on them."""
 
     max_bytes: int
     used_bytes: int = 0
 
     def is_exceeded(self) -> bool:
-        """Return whether more bytes are buffered than may be."""
+        """Return whether more bytes are in use than the limit."""
         return self.used_bytes > self.max_bytes
 
     def is_half_used(self) -> bool:
-        """Return whether more than half of the bytes that may be buffered are."""
+        """Return whether more than half of the limit is in use."""
         return 2 * self.used_bytes > self.max_bytes
--- a/ingress/network/clock.py
+++ b/ingress/network/clock.py
@@ -1,4 +1,4 @@
-"""The clock of the process: Unix time that never jumps."""
+"""The clock of the process: Unix time that advances without jumps."""
 
 from __future__ import annotations
 
@@ -11,8 +11,8 @@
 def unix_clock() -> Clock:
     """Return a clock that starts at the current Unix time and advances with the monotonic clock.
 
-    A wall clock that is set back or forward while the process runs has no effect.  It is Unix time because
-    `started_ms` and the names of the shared counter must mean the same at every ingress.
+    Changes of the system time while the process runs have no effect on it.  It returns Unix time because
+    `started_ms` and the time-based names on the shared counter must mean the same to every ingress.
     """
     monotonic = time.monotonic
     offset = time.time() - monotonic()
--- a/ingress/network/errors.py
+++ b/ingress/network/errors.py
@@ -1,4 +1,4 @@
-"""The base of the errors that a peer's bytes cause."""
+"""The base class of errors in received bytes."""
 
 from __future__ import annotations
 
@@ -6,4 +6,4 @@
 
 
 class ProtocolError(IngressError):
-    """A peer sent bytes that its protocol does not allow; nothing after them can be interpreted."""
+    """A peer sent bytes that its protocol does not allow; the bytes after them cannot be interpreted."""
--- a/ingress/network/frames.py
+++ b/ingress/network/frames.py
@@ -1,26 +1,26 @@
-"""Framing of RESP2 arrays: finds where a frame ends before any parser sees it.
+"""Framing of RESP2 arrays: finds the end of a frame before the frame is passed to a parser.
 
-The peer's counts and lengths are checked as soon as their header has arrived.  The parser allocates
-whatever a header claims, so it is given whole frames only.
+Counts and lengths are checked as soon as their header has arrived.  The parser allocates as much memory as a
+header claims, so it is given only complete frames whose headers were checked.
 """
 
 from __future__ import annotations
 
 from ingress.network.errors import ProtocolError
 
-MAX_HEADER_BYTES = 16  # of the line that holds a count or a length, with its terminator
+MAX_HEADER_BYTES = 16  # maximum length of a line with a count or a length, including its terminator
 ARRAY_MARK = ord("*")
 BULK_STRING_MARK = ord("$")
 TERMINATOR = b"\r\n"
 TERMINATOR_BYTES = len(TERMINATOR)
 NULL_BULK_STRING = b"$-1\r\n"
-INCOMPLETE = -1  # in place of an end: the rest of the frame has not arrived yet
+INCOMPLETE = -1  # returned instead of an index: the rest of the frame has not arrived yet
 
 
 class FrameError(ProtocolError):
-    """The received bytes are malformed or exceed a limit; nothing after them can be interpreted.
+    """The received bytes are malformed or exceed a limit; the bytes after them cannot be interpreted.
 
-    The texts are part of the protocol with clients: the downstream connection sends them as error replies.
+    The messages are part of the protocol with clients: the downstream connection sends them as error replies.
     """
 
 
@@ -34,8 +34,8 @@
 ) -> int:
     """Return the index after the array of bulk strings at `start`, or INCOMPLETE.
 
-    With `allow_null` an item may also be the null bulk string.  The limits hold for the number of items,
-    the bytes of one item and the bytes of the whole array.  Raises FrameError.
+    If `allow_null` is true, an item may also be the null bulk string.  Raise FrameError if the bytes are
+    malformed or exceed a limit: `max_items` items, `max_item_bytes` per item or `max_array_bytes` in all.
     """
     find = data.find
     max_position = start + max_array_bytes
@@ -52,7 +52,7 @@
         header_end = find(TERMINATOR, position, position + MAX_HEADER_BYTES)
         digits = data[position + 1 : header_end]
         if header_end < 0 or data[position] != BULK_STRING_MARK or not digits.isdigit():
-            position = _null_end(data, position, header_end, allow_null)
+            position = _find_null_end(data, position, header_end, allow_null)
             if position < 0:
                 return INCOMPLETE
             continue
@@ -68,8 +68,11 @@
     return position
 
 
-def _null_end(data: bytes | bytearray, start: int, header_end: int, allow_null: bool) -> int:
-    """Return the index after an item that has no length: a null, or a header that is not whole yet."""
+def _find_null_end(data: bytes | bytearray, start: int, header_end: int, allow_null: bool) -> int:
+    """Return the index after a null bulk string, or INCOMPLETE if the item's header is incomplete.
+
+    Raise FrameError if the item at `start` has no valid header.
+    """
     if allow_null and NULL_BULK_STRING.startswith(bytes(data[start : start + len(NULL_BULK_STRING)])):
         return INCOMPLETE if header_end < 0 else header_end + TERMINATOR_BYTES
     _check_incomplete_header(data, start, BULK_STRING_MARK)
@@ -77,7 +80,7 @@
 
 
 def _check_incomplete_header(data: bytes | bytearray, start: int, mark: int) -> None:
-    """Raise FrameError unless the bytes from `start` on may still become a header with a count."""
+    """Raise FrameError unless the bytes from `start` on are the beginning of a valid header."""
     text, _, rest = data[start : start + MAX_HEADER_BYTES].partition(b"\r")
     digits = text[1:]
     if text and text[0] != mark:
@@ -91,6 +94,6 @@
 
 
 def _check_incomplete_terminator(terminator: bytes | bytearray) -> None:
-    """Raise FrameError unless the bytes may still become the terminator of an item."""
+    """Raise FrameError unless the bytes are the beginning of an item's terminator."""
     if not TERMINATOR.startswith(bytes(terminator)):
         raise FrameError("broken frame: a length that does not fit")
--- a/ingress/network/rate_limited_log.py
+++ b/ingress/network/rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Logging of faults that may repeat at the rate of requests."""
+"""Logging of faults that may occur as often as requests."""
 
 from __future__ import annotations
 
@@ -6,12 +6,12 @@
 
 
 class RateLimitedLog:
-    """Logs the first faults one by one and only every nth later one, so that logging stays cheap."""
+    """Logs each of the first faults but only every nth later one, to limit the cost of logging."""
 
     __slots__ = ("_count", "_every", "_first", "_logger")
 
     def __init__(self, logger: logging.Logger, first: int, every: int = 100) -> None:
-        """Log the `first` faults one by one, and of later ones each whose number is a multiple of `every`."""
+        """Log the `first` faults, and of the later ones each whose number is a multiple of `every`."""
         self._logger = logger
         self._first = first
         self._every = every
@@ -19,11 +19,11 @@
 
     @property
     def count(self) -> int:
-        """Return how many faults there were, logged or not."""
+        """Number of faults so far, logged or not."""
         return self._count
 
     def warning(self, event: str, *args: object) -> None:
-        """Count a fault and log it as a warning if it is due; `event` is a %-format for `args`."""
+        """Count a fault and log it unless it is suppressed; `event` is a %-format string for `args`."""
         self._count += 1
         if self._count <= self._first or self._count % self._every == 0:
             self._logger.warning(event + " count=%d", *args, self._count)
--- a/ingress/network/sockets.py
+++ b/ingress/network/sockets.py
@@ -1,4 +1,4 @@
-"""Checks of a socket's state that the event loop has not reported yet."""
+"""Checks of a socket's current state, which the event loop may not have reported yet."""
 
 from __future__ import annotations
 
@@ -7,7 +7,7 @@
 
 
 def has_input(sock: socket.socket) -> bool:
-    """Return whether unread bytes have arrived; an end or a fault of the connection counts as none."""
+    """Return whether there are unread bytes; the end or a failure of the connection does not count."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
     except OSError:
@@ -15,7 +15,7 @@
 
 
 def is_open_without_input(sock: socket.socket) -> bool:
-    """Return whether the connection is open and no unread bytes have arrived."""
+    """Return whether the connection is open and there are no unread bytes."""
     try:
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
     except BlockingIOError:
@@ -26,7 +26,7 @@
 
 
 def is_closed_by_peer(sock: socket.socket) -> bool:
-    """Return whether the peer has closed its side or the connection, even behind unread bytes."""
+    """Return whether the peer has closed its side or the connection, even if there are unread bytes."""
     poll = select.poll()
-    poll.register(sock, select.POLLRDHUP)  # faults and resets are reported in any case
+    poll.register(sock, select.POLLRDHUP)  # errors and resets are always reported
     return bool(poll.poll(0))
--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -1,18 +1,22 @@
-"""The counter's client: connections that come up late, fall silent or idle, and changes of address."""
+"""Tests of the counter's client: slow, silent and idle connections, and changes of address."""
 
 from __future__ import annotations
 
 import pytest
 
-from ingress.counter import client as module
+from ingress.counter import client as client_module
 from ingress.interface import Outcome
 from tests.support.counter import ClientUnderTest, scripted_counter
 from tests.support.peers import Peer, Reader, Writer, run, until
 from tests.support.sockets import refusing_address, unresponsive_address
 
 
-def test_a_slow_call_does_not_hold_up_the_others() -> None:
-    """Its answer is owed first on its connection; the next calls go on others, up to the limit."""
+def test_slow_call_does_not_delay_other_calls() -> None:
+    """Guard against calls that wait behind a slow call.
+
+    Answers on one connection come in the order of the calls, so the calls after a slow one use another
+    connection.
+    """
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while b"add 1 " not in await reader.readline():
@@ -21,42 +25,42 @@
 
     async def body() -> None:
         async with Peer(script) as peer:
-            calls = ClientUnderTest(peer.address)
-            calls.add(1)
-            await until(lambda: calls.client.connections)
-            calls.add(2)  # behind it: a further connection is only coming up
-            await until(lambda: len(calls.client.connections) == 2)
+            caller = ClientUnderTest(peer.address)
+            caller.add(1)
+            await until(lambda: caller.client.connections)
+            caller.add(2)  # waits behind call 1, as the second connection is not open yet
+            await until(lambda: len(caller.client.connections) == 2)
             for name in range(3, 20):
-                calls.add(name)
-                await calls.reply(name - 2)
-            assert [reply.name for reply in calls.replies] == list(range(3, 20))
+                caller.add(name)
+                await caller.reply(name - 2)
+            assert [reply.name for reply in caller.replies] == list(range(3, 20))
             assert peer.connections == 2
 
     run(body())
 
 
-def test_a_refused_connection_added_nothing() -> None:
+def test_refused_connection_is_reported_as_connect_failed() -> None:
     async def body() -> None:
-        calls = ClientUnderTest(refusing_address())
-        calls.add()
-        assert await calls.reply() == (7, Outcome.CONNECT_FAILED, 0.0)
+        caller = ClientUnderTest(refusing_address())
+        caller.add()
+        assert await caller.reply() == (7, Outcome.CONNECT_FAILED, 0.0)
 
     run(body())
 
 
-def test_a_call_that_waits_for_its_connection_is_never_sent_once_its_time_is_up() -> None:
+def test_call_that_times_out_before_a_connection_opens_is_never_sent() -> None:
     async def body() -> None:
         with unresponsive_address() as address:
-            calls = ClientUnderTest(address, timeout_s=0.05)
-            calls.add()
-            assert await calls.reply() == (7, Outcome.CONNECT_FAILED, 0.0)
-            await until(lambda: calls.client.connecting is None)
-            assert len(calls.replies) == 1
+            caller = ClientUnderTest(address, timeout_s=0.05)
+            caller.add()
+            assert await caller.reply() == (7, Outcome.CONNECT_FAILED, 0.0)
+            await until(lambda: caller.client.connect_task is None)
+            assert len(caller.replies) == 1
 
     run(body())
 
 
-def test_a_silent_connection_is_replaced() -> None:
+def test_silent_connection_is_replaced() -> None:
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while await reader.readline():
             if number == 1:
@@ -64,114 +68,115 @@
 
     async def body() -> None:
         async with Peer(script) as peer:
-            calls = ClientUnderTest(peer.address, timeout_s=0.02)
-            calls.add()
-            assert await calls.reply() == (7, Outcome.TIMEOUT, 0.0)
-            calls.client.connections[0].calls[0].started -= 60.0  # it is owed an answer for long
-            calls.client.timeout_s = 5.0
-            calls.add()
-            assert await calls.reply(2) == (7, Outcome.OK, 5.0)
+            caller = ClientUnderTest(peer.address, timeout_s=0.02)
+            caller.add()
+            assert await caller.reply() == (7, Outcome.TIMEOUT, 0.0)
+            # Simulate that the call has been unanswered for a minute.
+            caller.client.connections[0].unanswered_calls[0].started_at -= 60.0
+            caller.client.timeout_s = 5.0
+            caller.add()
+            assert await caller.reply(2) == (7, Outcome.OK, 5.0)
             assert peer.connections == 2
 
     run(body())
 
 
-def test_an_idle_connection_is_closed_by_the_client(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "IDLE_TIMEOUT_S", 0.05)
+def test_idle_connection_is_closed_by_the_client(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(client_module, "IDLE_TIMEOUT_S", 0.05)
 
     async def body() -> None:
         async with scripted_counter(b"ok 1\r\n") as peer:
-            calls = ClientUnderTest(peer.address)
-            calls.add()
-            await calls.reply()
+            caller = ClientUnderTest(peer.address)
+            caller.add()
+            await caller.reply()
             await until(lambda: peer.ended)
-            assert not calls.client.connections
+            assert not caller.client.connections
 
     run(body())
 
 
 @pytest.mark.parametrize("answers", [True, False])
-def test_after_a_change_of_address_old_calls_finish_and_new_ones_go_to_the_new_address(answers: bool) -> None:
-    """The old connection ends with its last answer, or once its calls are late; nothing is left of it."""
-    made: list[ClientUnderTest] = []
+def test_calls_after_a_change_of_address_go_to_the_new_address_while_old_calls_finish(answers: bool) -> None:
+    """The old connection closes after its last answer, or when its calls have timed out."""
+    callers: list[ClientUnderTest] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         old.commands.append([await reader.readline()])
-        await until(lambda: len(made[0].replies) == 1)
+        await until(lambda: len(callers[0].replies) == 1)
         if answers:
             writer.write(b"ok 1\r\n")
         await reader.read()
 
     async def body() -> None:
         async with old, scripted_counter(b"ok 2\r\n") as new:
-            calls = ClientUnderTest(old.address, timeout_s=5.0 if answers else 0.5)
-            made.append(calls)
-            calls.add(1)
+            caller = ClientUnderTest(old.address, timeout_s=5.0 if answers else 0.5)
+            callers.append(caller)
+            caller.add(1)
             await until(lambda: old.commands)
-            calls.client.change_address(new.address)
-            calls.add(2)
-            assert await calls.reply() == (2, Outcome.OK, 2.0)
-            assert await calls.reply(2) == ((1, Outcome.OK, 1.0) if answers else (1, Outcome.TIMEOUT, 0.0))
+            caller.client.change_address(new.address)
+            caller.add(2)
+            assert await caller.reply() == (2, Outcome.OK, 2.0)
+            assert await caller.reply(2) == ((1, Outcome.OK, 1.0) if answers else (1, Outcome.TIMEOUT, 0.0))
             await until(lambda: old.ended)
-            assert not calls.client.connect_tasks
+            assert not caller.client.all_connect_tasks
 
     old = Peer(script)
     run(body())
 
 
-def test_a_change_of_address_while_a_connection_comes_up_leads_to_the_new_address() -> None:
+def test_change_of_address_while_connecting_leads_to_the_new_address() -> None:
     async def body() -> None:
         async with scripted_counter() as old, scripted_counter(b"ok 2\r\n") as new:
-            calls = ClientUnderTest(old.address)
-            calls.add(1)
-            calls.client.change_address(new.address)
-            assert await calls.reply() == (1, Outcome.OK, 2.0)
-            await until(lambda: old.ended == old.connections and not calls.client.connect_tasks)
+            caller = ClientUnderTest(old.address)
+            caller.add(1)
+            caller.client.change_address(new.address)
+            assert await caller.reply() == (1, Outcome.OK, 2.0)
+            await until(lambda: old.ended == old.connections and not caller.client.all_connect_tasks)
             assert not old.commands
 
     run(body())
 
 
-def test_a_change_of_address_without_calls_leaves_no_connection() -> None:
+def test_change_of_address_without_pending_calls_closes_all_connections() -> None:
     async def body() -> None:
         async with scripted_counter(b"ok 1\r\n") as old, scripted_counter() as new:
-            calls = ClientUnderTest(old.address)
-            calls.add()
-            await calls.reply()
-            calls.client.change_address(new.address)
+            caller = ClientUnderTest(old.address)
+            caller.add()
+            await caller.reply()
+            caller.client.change_address(new.address)
             await until(lambda: old.ended)
-            assert not calls.client.connections
+            assert not caller.client.connections
             assert not new.connections
 
     run(body())
 
 
 @pytest.mark.parametrize("unsent", [0, 3])
-def test_a_connection_that_comes_up_after_the_client_was_closed_is_closed(unsent: int) -> None:
+def test_connection_that_opens_after_the_client_was_closed_is_closed(unsent: int) -> None:
     async def body() -> None:
         async with scripted_counter(b"ok 1\r\n") as peer:
-            calls = ClientUnderTest(peer.address, timeout_s=0.2)
-            calls.add()
-            calls.client.close()  # while the connection comes up
+            caller = ClientUnderTest(peer.address, timeout_s=0.2)
+            caller.add()
+            caller.client.close()  # while the connection is being opened
             for _ in range(unsent):
-                calls.add()
-            await until(lambda: len(calls.replies) == unsent + 1 and not calls.client.connect_tasks)
-            assert {reply.outcome for reply in calls.replies} == {Outcome.CONNECT_FAILED}
+                caller.add()
+            await until(lambda: len(caller.replies) == unsent + 1 and not caller.client.all_connect_tasks)
+            assert {reply.outcome for reply in caller.replies} == {Outcome.CONNECT_FAILED}
             await until(lambda: peer.ended == peer.connections)
-            assert not calls.client.connections
+            assert not caller.client.connections
             assert peer.commands in ([], [[b""]])
 
     run(body())
 
 
-def test_calls_that_wait_unsent_go_to_the_new_address_once_though_the_old_one_fails() -> None:
+def test_unsent_calls_go_once_to_the_new_address_if_the_old_one_fails() -> None:
     async def body() -> None:
         async with scripted_counter(b"ok 1\r\n", b"ok 2\r\n") as new:
-            calls = ClientUnderTest(refusing_address())
-            calls.add(1)
-            calls.add(2)
-            calls.client.change_address(new.address)
-            assert await calls.reply(2) == (2, Outcome.OK, 2.0)
+            caller = ClientUnderTest(refusing_address())
+            caller.add(1)
+            caller.add(2)
+            caller.client.change_address(new.address)
+            assert await caller.reply(2) == (2, Outcome.OK, 2.0)
             assert [line[:5] for [line] in new.commands if line] == [b"add 1", b"add 2"]
 
     run(body())
--- a/tests/counter/test_connection.py
+++ b/tests/counter/test_connection.py
@@ -1,4 +1,4 @@
-"""One connection to the counter: calls on the wire, answers, and their order."""
+"""Tests of one connection to the counter: the encoding of calls, and the answers and their order."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.support.counter import ClientUnderTest, scripted_counter
 from tests.support.peers import Peer, Reader, Writer, run, until
 
-MALFORMED = (
+MALFORMED_ANSWERS = (
     b"what\r\n",
     b"ok\r\n",
     b"ok nan\r\n",
@@ -29,32 +29,32 @@
         (b"busy\r\n", Outcome.REJECTED, 0.0),
         (b"error\r\n", Outcome.REJECTED, 0.0),
         (b"ok 1.5e+03\r\n", Outcome.OK, 1500.0),
-        *((answer, Outcome.TIMEOUT, 0.0) for answer in MALFORMED),
+        *((answer, Outcome.TIMEOUT, 0.0) for answer in MALFORMED_ANSWERS),
     ],
 )
-def test_what_an_answer_means(answer: bytes, outcome: Outcome, total: float) -> None:
+def test_answer_is_reported_with_its_outcome_and_total(answer: bytes, outcome: Outcome, total: float) -> None:
     async def body() -> None:
         async with scripted_counter(answer) as peer:
-            calls = ClientUnderTest(peer.address)
-            calls.add()
-            assert await calls.reply() == (7, outcome, total)
+            caller = ClientUnderTest(peer.address)
+            caller.add()
+            assert await caller.reply() == (7, outcome, total)
 
     run(body())
 
 
-@pytest.mark.parametrize("answer", MALFORMED)
-def test_a_connection_with_a_malformed_answer_is_not_used_again(answer: bytes) -> None:
+@pytest.mark.parametrize("answer", MALFORMED_ANSWERS)
+def test_connection_with_a_malformed_answer_is_not_used_again(answer: bytes) -> None:
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while await reader.readline():
             writer.write(b"ok 5\r\n" if number else answer + b"ok 99\r\n")
 
     async def body() -> None:
         async with Peer(script) as peer:
-            calls = ClientUnderTest(peer.address)
-            calls.add()
-            assert (await calls.reply())[1] is Outcome.TIMEOUT
-            calls.add()
-            assert await calls.reply(2) == (7, Outcome.OK, 5.0)
+            caller = ClientUnderTest(peer.address)
+            caller.add()
+            assert (await caller.reply())[1] is Outcome.TIMEOUT
+            caller.add()
+            assert await caller.reply(2) == (7, Outcome.OK, 5.0)
 
     run(body())
 
@@ -69,36 +69,36 @@
         (1e8, 1.0, b"add 7 100000000 1000\r\n"),
     ],
 )
-def test_a_call_on_the_wire(amount: float, lifetime: float, line: bytes) -> None:
+def test_call_is_encoded_as_an_add_line(amount: float, lifetime: float, line: bytes) -> None:
     async def body() -> None:
         async with scripted_counter() as peer:
-            calls = ClientUnderTest(peer.address)
-            calls.add(7, amount, lifetime)
+            caller = ClientUnderTest(peer.address)
+            caller.add(7, amount, lifetime)
             await until(lambda: peer.commands)
             assert peer.commands == [[line]]
 
     run(body())
 
 
-def test_calls_are_pipelined_on_one_connection_and_matched_in_order() -> None:
-    made: list[ClientUnderTest] = []
+def test_calls_are_pipelined_on_one_connection_and_matched_to_answers_in_order() -> None:
+    callers: list[ClientUnderTest] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         for _ in range(3):
             peer.commands.append([await reader.readline()])
         writer.write(b"ok 1\r\nbu")
-        await until(lambda: made[0].replies)
+        await until(lambda: callers[0].replies)
         writer.write(b"sy\r\nok 3\r\n")
         await reader.read()
 
     async def body() -> None:
         async with peer:
-            calls = ClientUnderTest(peer.address)
-            made.append(calls)
+            caller = ClientUnderTest(peer.address)
+            callers.append(caller)
             for name in (1, 2, 3):
-                calls.add(name)
-            await calls.reply(3)
-            assert [(r.name, r.outcome, r.total) for r in calls.replies] == [
+                caller.add(name)
+            await caller.reply(3)
+            assert [(r.name, r.outcome, r.total) for r in caller.replies] == [
                 (1, Outcome.OK, 1.0),
                 (2, Outcome.REJECTED, 0.0),
                 (3, Outcome.OK, 3.0),
@@ -109,30 +109,30 @@
     run(body())
 
 
-def test_a_late_answer_is_not_taken_for_the_next_calls() -> None:
-    made: list[ClientUnderTest] = []
+def test_late_answer_is_not_matched_to_the_next_call() -> None:
+    callers: list[ClientUnderTest] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await reader.readline()
-        await until(lambda: made[0].replies)
-        made[0].client.timeout_s = 5.0
-        made[0].add(2)
+        await until(lambda: callers[0].replies)
+        callers[0].client.timeout_s = 5.0
+        callers[0].add(2)
         await reader.readline()
         writer.write(b"ok 100\r\nok 200\r\n")
         await reader.read()
 
     async def body() -> None:
         async with Peer(script) as peer:
-            calls = ClientUnderTest(peer.address, timeout_s=0.2)
-            made.append(calls)
-            calls.add(1)
-            assert await calls.reply() == (1, Outcome.TIMEOUT, 0.0)
-            assert await calls.reply(2) == (2, Outcome.OK, 200.0)
+            caller = ClientUnderTest(peer.address, timeout_s=0.2)
+            callers.append(caller)
+            caller.add(1)
+            assert await caller.reply() == (1, Outcome.TIMEOUT, 0.0)
+            assert await caller.reply(2) == (2, Outcome.OK, 200.0)
 
     run(body())
 
 
-def test_a_connection_that_ends_under_a_call_may_have_added_and_is_replaced() -> None:
+def test_connection_closed_during_a_call_reports_a_timeout_and_is_replaced() -> None:
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         await reader.readline()
         if number == 1:
@@ -141,10 +141,10 @@
 
     async def body() -> None:
         async with Peer(script) as peer:
-            calls = ClientUnderTest(peer.address)
-            calls.add()
-            assert await calls.reply() == (7, Outcome.TIMEOUT, 0.0)
-            calls.add()
-            assert await calls.reply(2) == (7, Outcome.OK, 5.0)
+            caller = ClientUnderTest(peer.address)
+            caller.add()
+            assert await caller.reply() == (7, Outcome.TIMEOUT, 0.0)
+            caller.add()
+            assert await caller.reply(2) == (7, Outcome.OK, 5.0)
 
     run(body())
--- a/tests/network/test_addresses.py
+++ b/tests/network/test_addresses.py
@@ -1,4 +1,4 @@
-"""Addresses: parsed from text, and packed into one number each."""
+"""Tests of addresses: parsing from text, and packing into one integer each."""
 
 from __future__ import annotations
 
@@ -17,7 +17,7 @@
     "address",
     [("0.0.0.0", 0), ("0.0.0.1", 1), ("10.1.0.18", 6379), ("127.0.0.1", 65535), ("255.255.255.255", 65535)],
 )
-def test_a_packed_address_is_unpacked_to_the_same(address: tuple[str, int]) -> None:
+def test_packed_address_is_unpacked_to_the_same_address(address: tuple[str, int]) -> None:
     text = f"{address[0]}:{address[1]}"
     assert unpack_address(pack_address(address)) == address
     assert unpack_address(parse_packed_address(text)) == address
@@ -46,19 +46,19 @@
         "1.2.3.4:\u0665",
     ],
 )
-def test_a_malformed_address_raises_a_value_error(text: str) -> None:
+def test_malformed_address_raises_value_error(text: str) -> None:
     with pytest.raises(ValueError, match=r"is not an|embedded null"):
         parse_address(text)
 
 
-def test_a_copy_of_an_address_book_is_independent() -> None:
-    first = {"s1": ("10.0.0.1", 1), "s2": ("10.0.0.2", 2)}
-    book = AddressBook.copy_of(first)
+def test_copy_of_an_address_book_is_independent() -> None:
+    original = {"s1": ("10.0.0.1", 1), "s2": ("10.0.0.2", 2)}
+    book = AddressBook.copy_of(original)
     copy = AddressBook.copy_of(book)
     copy["s1"] = ("10.0.0.9", 9)
     copy.discard("s2")
     copy.discard("s3")
-    assert book == first
+    assert book == original
     assert copy == {"s1": ("10.0.0.9", 9)}
     assert "s2" not in copy
     assert len(copy) == 1
--- a/tests/network/test_clock.py
+++ b/tests/network/test_clock.py
@@ -1,4 +1,4 @@
-"""The clock is Unix time that does not jump."""
+"""Tests of the clock: it returns Unix time and does not jump."""
 
 from __future__ import annotations
 
@@ -9,7 +9,9 @@
 from ingress.network.clock import unix_clock
 
 
-def test_clock_is_unix_time_and_does_not_jump(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_clock_returns_unix_time_and_ignores_changes_of_the_system_time(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
     clock = unix_clock()
     assert abs(clock() - time.time()) < 5.0
     before = clock()
--- a/tests/network/test_frames.py
+++ b/tests/network/test_frames.py
@@ -1,4 +1,4 @@
-"""Framing: where an array ends, what is incomplete, and what is rejected as soon as it is seen."""
+"""Tests of framing: the end of an array, incomplete arrays, and rejection of malformed ones."""
 
 from __future__ import annotations
 
@@ -13,22 +13,22 @@
 MAX_ARRAY_BYTES = 30
 
 
-def end(data: bytes | bytearray, start: int = 0, allow_null: bool = False) -> int:
+def find_end(data: bytes | bytearray, start: int = 0, allow_null: bool = False) -> int:
     return array_end(data, start, MAX_ITEMS, MAX_ITEM_BYTES, MAX_ARRAY_BYTES, allow_null)
 
 
 @pytest.mark.parametrize("kind", [bytes, bytearray])
 @pytest.mark.parametrize(("frame", "allow_null"), [(ITEMS, False), (WITH_NULL, True), (b"*0\r\n", False)])
-def test_an_array_that_arrives_byte_by_byte(
+def test_array_is_incomplete_until_its_last_byte_arrives(
     kind: type[bytes] | type[bytearray], frame: bytes, allow_null: bool
 ) -> None:
     for size in range(len(frame)):
-        assert end(kind(frame[:size]), allow_null=allow_null) == INCOMPLETE
-    assert end(kind(frame + b"*1\r\n"), allow_null=allow_null) == len(frame)
+        assert find_end(kind(frame[:size]), allow_null=allow_null) == INCOMPLETE
+    assert find_end(kind(frame + b"*1\r\n"), allow_null=allow_null) == len(frame)
 
 
-def test_an_array_behind_another() -> None:
-    assert end(ITEMS + ITEMS, len(ITEMS)) == 2 * len(ITEMS)
+def test_end_of_an_array_that_follows_another() -> None:
+    assert find_end(ITEMS + ITEMS, len(ITEMS)) == 2 * len(ITEMS)
 
 
 @pytest.mark.parametrize(
@@ -48,12 +48,12 @@
         (b"*1\r\n$2\r\nabc", "broken frame: a length that does not fit"),
     ],
 )
-def test_what_is_rejected_as_soon_as_it_is_seen(data: bytes, message: str) -> None:
-    with pytest.raises(FrameError) as caught:
-        end(data)
-    assert str(caught.value) == message
+def test_malformed_or_too_large_input_is_rejected_as_soon_as_it_arrives(data: bytes, message: str) -> None:
+    with pytest.raises(FrameError) as error_info:
+        find_end(data)
+    assert str(error_info.value) == message
 
 
-def test_a_null_with_a_wrong_length_is_rejected() -> None:
+def test_null_bulk_string_with_a_wrong_length_is_rejected() -> None:
     with pytest.raises(FrameError):
-        end(b"*1\r\n$-2\r\n", allow_null=True)
+        find_end(b"*1\r\n$-2\r\n", allow_null=True)
--- a/tests/network/test_rate_limited_log.py
+++ b/tests/network/test_rate_limited_log.py
@@ -1,4 +1,4 @@
-"""Faults that repeat are logged one by one at first, and only now and then later."""
+"""Tests of the rate-limited log: it logs each of the first faults and only some of the later ones."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from ingress.network.rate_limited_log import RateLimitedLog
 
 
-def test_the_first_faults_and_every_nth_later_one_are_logged(caplog: pytest.LogCaptureFixture) -> None:
+def test_first_faults_and_every_nth_later_one_are_logged(caplog: pytest.LogCaptureFixture) -> None:
     log = RateLimitedLog(logging.getLogger("test"), first=2, every=5)
     with caplog.at_level(logging.WARNING):
         for number in range(1, 12):
