--- a/ingress/decisions/backend.py
+++ b/ingress/decisions/backend.py
@@ -82,12 +82,16 @@
         """Return whether the backend started so recently that it may lack its full capacity."""
         return self.info.started > 0.0 and now < self.info.started + settings.slow_start_duration
 
-    def record_answer(self, now: float, latency: float, mean: float, latency_objective: float) -> None:
+    def record_answer(
+        self, now: float, latency: float, mean_answer_time: float, latency_objective: float
+    ) -> None:
         """Update latency, health and limit after an answer that took `latency` seconds.
 
-        `mean` is the mean answer time of the request's class (s).
+        `mean_answer_time` is the mean of the request's class (s).
         """
-        self.relative_latency += SMOOTHING * (latency / max(mean, MIN_DIVISOR) - self.relative_latency)
+        self.relative_latency += SMOOTHING * (
+            latency / max(mean_answer_time, MIN_DIVISOR) - self.relative_latency
+        )
         self.last_answer_at = now
         self.ejection.record_answer()
         in_flight = len(self.attempts_in_flight)
@@ -137,18 +141,18 @@
         return now - max(self.last_answer_at, oldest_sent_at)
 
     def load_score(
-        self, now: float, mean: float, longest_objective: float, zone: str, tie_break: float
+        self, now: float, mean_answer_time: float, longest_objective: float, zone: str, tie_break: float
     ) -> float:
         """Return the expected load of the backend relative to its weight, as seen from `zone`.
 
-        The balancer chooses the backend with the lowest score.  `mean` is the mean answer time of the
+        The balancer chooses the backend with the lowest score.  `mean_answer_time` is the mean of the
         request's class (s).  `tie_break` is drawn from the exponential distribution, so that among idle
         backends each is chosen in proportion to its weight.
         """
         # An old observation decays: otherwise a backend that was slow once would never be tried again.
         half_lives = (now - self.last_answer_at) / (RELATIVE_LATENCY_HALF_LIFE * longest_objective)
         decay: float = 0.5**half_lives
-        silence = self.silence_duration(now) / max(mean, MIN_DIVISOR) / SILENCE_FOR_MEAN_LATENCY
+        silence = self.silence_duration(now) / max(mean_answer_time, MIN_DIVISOR) / SILENCE_FOR_MEAN_LATENCY
         latency = max(1.0 + (self.relative_latency - 1.0) * decay, silence, MIN_RELATIVE_LATENCY)
         zone_factor = CROSS_ZONE_FACTOR if zone != self.info.zone else 1.0
         load = (len(self.attempts_in_flight) + tie_break) * latency
--- a/ingress/decisions/balancer.py
+++ b/ingress/decisions/balancer.py
@@ -179,10 +179,12 @@
         """Return the backend with the lowest load score among those that slow start allows."""
         chosen = None
         lowest_score = float("inf")
-        mean = self.answer_times.mean(request.request_class)
+        mean_answer_time = self.answer_times.mean(request.request_class)
         for backend in eligible:
             tie_break = self.rng.expovariate(1.0)
-            score = backend.load_score(now, mean, self.longest_objective, self.settings.zone, tie_break)
+            score = backend.load_score(
+                now, mean_answer_time, self.longest_objective, self.settings.zone, tie_break
+            )
             if score < lowest_score and self.slow_start_allows(backend, now, request):
                 chosen = backend
                 lowest_score = score
--- a/ingress/decisions/slow_start.py
+++ b/ingress/decisions/slow_start.py
@@ -61,13 +61,15 @@
 
     def _compute_budget_rate(self, backend: TrackedBackend, now: float) -> float:
         """Return the work per second that this gateway may send to a backend that warms up."""
-        s = self.settings
+        settings = self.settings
         age = now - backend.info.started
-        initial_share = s.slow_start_initial_share
-        capacity_share = initial_share + (1 - initial_share) * age / max(s.slow_start_duration, MIN_DIVISOR)
+        initial_share = settings.slow_start_initial_share
+        capacity_share = initial_share + (1 - initial_share) * age / max(
+            settings.slow_start_duration, MIN_DIVISOR
+        )
         gateway_count = self.candidate_set.subsetting.count_gateways_preferring(backend.info.id)
         # The rate that a warm backend of this weight gets from all gateways, divided among those that have
         # this backend in their subset: only they send to it while it warms up.
-        warm_rate = self.warm_rate_per_weight * backend.info.weight * s.instance_count / gateway_count
-        min_rate = MIN_BUDGET_IN_WINDOW / (s.overload_window * gateway_count)
-        return max(min_rate, SAFETY_MARGIN * s.overload_factor * min(1.0, capacity_share) * warm_rate)
+        warm_rate = self.warm_rate_per_weight * backend.info.weight * settings.instance_count / gateway_count
+        min_rate = MIN_BUDGET_IN_WINDOW / (settings.overload_window * gateway_count)
+        return max(min_rate, SAFETY_MARGIN * settings.overload_factor * min(1.0, capacity_share) * warm_rate)
--- a/ingress/decisions/subset.py
+++ b/ingress/decisions/subset.py
@@ -128,7 +128,7 @@
         return len(gateways | self._find_gateways_by_second_ring(second_index, first_size, second_size))
 
     def _find_gateways_by_first_ring(self, index: int, size: int) -> set[int]:
-        """Return the gateways that take the backend at `index` of the first ring from that ring."""
+        """Return the gateways that select the backend at `index` of the first ring from that ring."""
         ring = self.rings[0]
         count = len(self.backend_ids)
         return {
@@ -138,10 +138,10 @@
         }
 
     def _find_gateways_by_second_ring(self, index: int, first_size: int, second_size: int) -> set[int]:
-        """Return the gateways that take the backend at `index` of the second ring from that ring.
+        """Return the gateways that select the backend at `index` of the second ring from that ring.
 
-        On the second ring a gateway skips the backends that it already takes from the first, and takes as
-        many further ones instead.
+        On the second ring a gateway skips the backends that it already selects from the first ring, and
+        selects as many further ones instead.
         """
         first, second = self.rings
         count = len(self.backend_ids)
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -10,7 +10,7 @@
 from tests.support.gateway import FLEET, Play, sends
 
 
-def test_new_gateway_starts_with_few_attempts_in_flight() -> None:
+def test_new_gateway_sends_few_attempts_until_backends_answer() -> None:
     play = Play(UNLIMITED)
     for _ in range(100):
         play.ask(0.0)
