--- a/tests/downstream/test_command_buffer.py
+++ b/tests/downstream/test_command_buffer.py
@@ -1,4 +1,4 @@
-"""Received bytes are cut into commands, and counted while they are held."""
+"""The input buffer splits received bytes into commands and counts the bytes that it holds."""
 
 from __future__ import annotations
 
@@ -29,7 +29,7 @@
     assert len(buffer) == budget.used_bytes == 0
 
 
-def test_the_buffers_of_a_budget_are_counted_together() -> None:
+def test_buffers_that_share_a_budget_are_counted_together() -> None:
     budget = BufferBudget(max_bytes=100)
     first, second = CommandBuffer(budget), CommandBuffer(budget)
     first.append(b"*" * 50)
--- a/tests/downstream/test_command_executor.py
+++ b/tests/downstream/test_command_executor.py
@@ -1,4 +1,4 @@
-"""Commands are executed, and those that are malformed are counted in a row."""
+"""Execution of commands, and counting of consecutive malformed ones."""
 
 from __future__ import annotations
 
@@ -14,14 +14,14 @@
 
 
 class FakeWriter:
-    """A connection that sends nothing."""
+    """A connection that does not send its replies."""
 
     def flush(self) -> None:
         """Do nothing."""
 
 
 class FakeOwner:
-    """A listener and its handler of requests, which may fail."""
+    """A listener that is also the request handler; the handler raises `error` unless it is None."""
 
     def __init__(self, error: Exception | None = None) -> None:
         self.command_parser = CommandParser(config().settings)
@@ -31,7 +31,7 @@
         self.malformed: list[str] = []
 
     def handle_request(self, reply: PendingReply, command: Command, received_at: float) -> None:
-        """Record a request, or raise the error."""
+        """Record the request, or raise the error."""
         if self.error is not None:
             raise self.error
         self.requests.append((command.client_request_id, received_at))
@@ -45,7 +45,7 @@
 
 
 def execute(executor: CommandExecutor, *arguments: bytes) -> tuple[bytes | None, bytes | None]:
-    """Execute a command; return the error reply, and the reply given at once."""
+    """Execute a command; return the error reply that it returned, and the reply that it gave at once."""
     reply = PendingReply(FakeWriter())
     return executor.execute(reply, list(arguments), RECEIVED_AT), reply.data
 
@@ -65,17 +65,17 @@
         ([b"client", b"setname", b"x"], b"+OK\r\n"),
     ],
 )
-def test_command_about_the_connection_is_answered_at_once(arguments: list[bytes], expected: bytes) -> None:
+def test_connection_command_is_answered_at_once(arguments: list[bytes], expected: bytes) -> None:
     assert execute(CommandExecutor(FakeOwner()), *arguments) == (None, expected)
 
 
-def test_malformed_commands_are_counted_in_a_row() -> None:
+def test_consecutive_malformed_commands_are_counted() -> None:
     owner = FakeOwner()
     executor = CommandExecutor(owner)
     for _ in range(MAX_MALFORMED_COMMANDS - 1):
         assert execute(executor, b"NO") == (b"-ERR unknown command\r\n", None)
     assert not executor.is_malformed_limit_reached()
-    execute(executor, b"PING")  # only a request starts the count anew
+    execute(executor, b"PING")  # does not reset the count; only a request does
     execute(executor, *VALID)
     for _ in range(MAX_MALFORMED_COMMANDS - 1):
         execute(executor)
@@ -86,13 +86,15 @@
     assert len(owner.malformed) == 2 * MAX_MALFORMED_COMMANDS - 1
 
 
-def test_refusal_of_the_handler_is_an_error_reply() -> None:
+def test_command_rejected_by_the_handler_gets_an_error_reply() -> None:
     owner = FakeOwner(CommandError("refused"))
     assert execute(CommandExecutor(owner), *VALID) == (b"-ERR refused\r\n", None)
     assert owner.malformed == ["refused"]
 
 
-def test_fault_of_the_handler_is_logged_and_answered(caplog: pytest.LogCaptureFixture) -> None:
+def test_exception_in_the_handler_is_logged_and_answered_with_an_error(
+    caplog: pytest.LogCaptureFixture,
+) -> None:
     executor = CommandExecutor(FakeOwner(RuntimeError("fault")))
     assert execute(executor, *VALID) == (INTERNAL_ERROR_REPLY, None)
     assert [record.getMessage() for record in caplog.records] == ["request failed"]
--- a/tests/downstream/test_commands.py
+++ b/tests/downstream/test_commands.py
@@ -1,4 +1,4 @@
-"""The commands of clients: what is malformed is answered with an error and logged."""
+"""Parsing of client commands; malformed ones are answered with an error and logged."""
 
 from __future__ import annotations
 
@@ -12,13 +12,13 @@
 from tests.support.peers import Caller, command, config, resp, run
 
 
-def with_fields(old: bytes, new: bytes) -> bytes:
-    """A command with another list of names and values, whose length is right."""
+def command_with_fields(old: bytes, new: bytes) -> bytes:
+    """Return a command with `old` replaced by `new` in its field list, and a correct length prefix."""
     names = b"c=read,t=basic,d=2000,units=1,spread=1,first=0"
     return resp(b"API.READ", b"%016x" % 7, b"id", names.replace(old, new))
 
 
-def test_ping_and_the_small_commands() -> None:
+def test_connection_commands_are_answered() -> None:
     async def body() -> None:
         async with serving(config()) as (_, address):
             caller = await Caller.to(address)
@@ -43,16 +43,16 @@
         (command().replace(b"units=1", b"units=0"), "units"),
         (command().replace(b"spread=1", b"spread=_"), "spread"),
         (command().replace(b"first=0", b"first=-"), "first"),
-        (with_fields(b"first=0", b"first=1"), "first"),
-        (with_fields(b"spread=1", b"spread=2"), "spread"),
-        (with_fields(b"spread=1", b"spread=0"), "spread"),
+        (command_with_fields(b"first=0", b"first=1"), "first"),
+        (command_with_fields(b"spread=1", b"spread=2"), "spread"),
+        (command_with_fields(b"spread=1", b"spread=0"), "spread"),
         *(
-            (with_fields(b"units=1", b"units=" + units), "bad number: units")
+            (command_with_fields(b"units=1", b"units=" + units), "bad number: units")
             for units in (b"2", b"nan", b"inf", b"1_0", b"1e0", b"-1", b"+1", b" 1", b"")
         ),
         (command(d=0), "bad number: d"),
         (command(d=4001), "bad number: d"),
-        (with_fields(b"d=2", b"d=-2"), "bad number: d"),
+        (command_with_fields(b"d=2", b"d=-2"), "bad number: d"),
         (command(extra=",d=5"), "twice"),
         (command(extra=",r=2"), "bad number: r"),
         (command(""), "no id"),
@@ -67,7 +67,7 @@
         (command(cls="order").replace(b",k=", b",j="), "k is missing"),
     ],
 )
-def test_malformed_command_gets_an_error_and_is_logged_and_the_connection_goes_on(
+def test_malformed_command_gets_an_error_and_is_logged_and_the_connection_stays_open(
     data: bytes, why: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def body() -> None:
@@ -108,7 +108,7 @@
     )
 
 
-def test_parts_of_a_command_leave_the_length_of_the_fields_open() -> None:
+def test_encoded_command_parts_omit_the_length_of_the_field_list() -> None:
     parser = CommandParser(config().settings)
     customer, fields = b"%016x" % 7, b"c=read,t=basic,d=100"
     parsed = parser.parse(b"API.READ", [b"api.read", customer, b"id-1", fields])
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: the order of replies, broken frames, pipelining and time-outs."""
+"""One client connection: the order of replies, malformed frames, pipelining and timeouts."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 )
 
 
-def test_replies_come_in_the_order_of_the_commands() -> None:
+def test_replies_are_sent_in_the_order_of_the_commands() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         words = await read_command(reader)
         if words[2] == b"slow":
@@ -67,18 +67,18 @@
         b"x" * 100,
     ],
 )
-def test_broken_frame_closes_the_connection_after_the_pending_replies(data: bytes) -> None:
-    made: list[Ingress] = []
+def test_malformed_frame_closes_the_connection_after_the_pending_replies(data: bytes) -> None:
+    ingresses: list[Ingress] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        await until(lambda: made[0].listener.malformed_command_log.count)
+        await until(lambda: ingresses[0].listener.malformed_command_log.count)
         writer.write(value(b"served"))
         await reader.read()
 
     async def body() -> None:
         async with Peer(script) as peer, serving(config(entry(peer.address))) as (ingress, address):
-            made.append(ingress)
+            ingresses.append(ingress)
             caller = await Caller.to(address)
             caller.writer.write(command() + data)
             assert await caller.answer() == b"served"
@@ -100,7 +100,7 @@
     run(body())
 
 
-def test_client_that_repeats_malformed_commands_is_closed() -> None:
+def test_client_that_repeats_malformed_commands_is_disconnected() -> None:
     async def body() -> None:
         async with serving(config()) as (ingress, address):
             caller = await Caller.to(address)
@@ -114,8 +114,12 @@
     run(body())
 
 
-def test_last_error_is_delivered_though_more_input_keeps_coming(monkeypatch: pytest.MonkeyPatch) -> None:
-    """60 MB behind a length that is refused: little of it is read, and the peer still sees why."""
+def test_last_error_reply_is_delivered_while_more_input_arrives(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Check that the client reads the error even though it still sends 60 MB that are never parsed.
+
+    Closing with unread input would reset the connection and could destroy the error reply.  Only a little of
+    the input is read and discarded.
+    """
     monkeypatch.setattr(timeouts, "LINGER_TIMEOUT_S", 0.2)
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
@@ -134,7 +138,7 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"*", b"*4\r\n$8\r\nAPI.R", b"*1\r\n$4\r\nPIN"])
-def test_silent_client_or_partial_command_is_timed_out(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_client_or_partial_command_times_out(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timeouts, "READ_TIMEOUT_S", 0.2)
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
@@ -142,7 +146,7 @@
         async with serving(config()) as (ingress, address):
             caller = await Caller.to(address)
             caller.writer.write(sent)
-            received = await caller.reader.read()  # to the end of the connection
+            received = await caller.reader.read()  # until the connection is closed
             assert received.startswith(b"-ERR ") is bool(sent)
             caller.writer.close()
             await until(lambda: not ingress.listener.connections)
@@ -151,8 +155,8 @@
     run(body())
 
 
-def test_slow_bytes_do_not_extend_the_time_out_of_a_partial_command(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The time of a command that comes in part runs from its first byte, not from its latest."""
+def test_single_bytes_do_not_extend_the_timeout_of_a_partial_command(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The timeout of a partial command runs from its first byte, not from its latest byte."""
     monkeypatch.setattr(timeouts, "READ_TIMEOUT_S", 0.3)
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
@@ -170,7 +174,7 @@
     run(body())
 
 
-def test_an_idle_client_is_closed_and_a_busy_one_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connection_is_closed_and_busy_one_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
     for module, name in (
         (timeouts, "READ_TIMEOUT_S"),
         (timeouts, "IDLE_TIMEOUT_S"),
@@ -198,7 +202,7 @@
     run(body())
 
 
-def test_client_that_does_not_read_its_replies_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_that_does_not_read_its_replies_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timeouts, "READ_TIMEOUT_S", 0.1)
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
--- a/tests/downstream/test_drain.py
+++ b/tests/downstream/test_drain.py
@@ -1,4 +1,4 @@
-"""The listener drains: each request that has come is served before its connection is closed."""
+"""Draining of the listener: every received request is served before its connection is closed."""
 
 from __future__ import annotations
 
@@ -14,13 +14,13 @@
 from tests.support.peers import Caller, backend, command, config, entry, resp, run, until
 
 
-def test_connection_accepted_as_the_listener_drains_is_served_and_then_closed() -> None:
+def test_connection_accepted_while_draining_is_served_and_then_closed() -> None:
     async def body() -> None:
         async with serving(config()) as (ingress, address):
             idle = socket.create_connection(address)
             busy = socket.create_connection(address)
             busy.sendall(resp(b"PING"))
-            ingress.listener.drain()  # before the loop has seen either of them
+            ingress.listener.drain()  # before the event loop has accepted either connection
             loop = asyncio.get_running_loop()
             for sock in (idle, busy):
                 sock.setblocking(False)
@@ -39,7 +39,8 @@
             caller = await Caller.to(address)
             caller.writer.write(command("first"))
             assert await caller.answer() == b"first"
-            ingress.listener.is_draining = True  # as `drain` sets it; there the request would be in flight
+            # Set directly, since `drain` would close the connection, which is idle now, at once.
+            ingress.listener.is_draining = True
             caller.writer.write(resp(b"PING") + command("second") + resp(b"PING"))
             assert [await caller.answer() for _ in range(3)] == [b"PONG", b"second", b"PONG"]
             assert await caller.closes_without_reset()
@@ -63,8 +64,8 @@
     run(body())
 
 
-def test_request_received_while_a_reply_goes_out_is_served_while_draining() -> None:
-    """To close then is to read no more: the request would be lost, and its reset cut the answer."""
+def test_request_received_while_a_reply_is_being_sent_is_served_while_draining() -> None:
+    """Closing at this point would lose the unread request, and its reset would cut off the reply."""
     size = 8 << 20
 
     async def body() -> None:
@@ -77,23 +78,24 @@
             [client] = await client_connections(ingress, 1)
             await until(lambda: client in ingress.listener.idle_connections.answered)
             assert client.transport
-            client.transport.set_write_buffer_limits(2 * size)  # less waits than would hold the client back
-            client.transport.write(b"+" + b"v" * size + b"\r\n")  # as a long answer that goes out
+            # A long reply is being sent, but less than the limit is buffered, so there is no back-pressure.
+            client.transport.set_write_buffer_limits(2 * size)
+            client.transport.write(b"+" + b"v" * size + b"\r\n")
             ingress.listener.drain()
             sock.sendall(command("late"))
             sock.setblocking(False)
-            loop, got = asyncio.get_running_loop(), b""
-            while more := await loop.sock_recv(sock, 1 << 20):
-                got += more
-            assert len(got) > size
-            assert got.endswith(b"v\r\n$4\r\nlate\r\n")
+            loop, received = asyncio.get_running_loop(), b""
+            while chunk := await loop.sock_recv(sock, 1 << 20):
+                received += chunk
+            assert len(received) > size
+            assert received.endswith(b"v\r\n$4\r\nlate\r\n")
             sock.close()
 
     run(body())
 
 
 def test_connections_in_the_backlog_are_served_while_draining() -> None:
-    """All places are taken when the restart begins; more connections with a request wait behind."""
+    """The connection limit is reached when the drain begins, and more connections wait with a request."""
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
@@ -116,9 +118,9 @@
     run(body())
 
 
-def test_connections_behind_an_aborted_one_are_served_while_draining() -> None:
-    class Listener:
-        """The listener, but the connection that comes first has left as it is taken."""
+def test_connection_behind_an_aborted_one_is_served_while_draining() -> None:
+    class ListeningSocket:
+        """A listening socket whose first accepted connection has already been aborted by its client."""
 
         def __init__(self, sock: socket.socket) -> None:
             self.sock = sock
@@ -135,7 +137,7 @@
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
-            ingress.listener.sock = Listener(ingress.listener.sock)  # type: ignore[assignment]
+            ingress.listener.sock = ListeningSocket(ingress.listener.sock)  # type: ignore[assignment]
             sock = socket.create_connection(address)
             sock.sendall(command("behind"))
             ingress.listener.drain()
@@ -146,7 +148,7 @@
     run(body())
 
 
-def test_wait_until_drained_ends_as_the_last_connection_closes() -> None:
+def test_wait_until_drained_ends_when_the_last_connection_closes() -> None:
     async def body() -> None:
         async with serving(config()) as (ingress, address):
             callers = [await Caller.to(address) for _ in range(2)]
@@ -175,7 +177,7 @@
             drained = asyncio.create_task(listener.wait_until_drained(loop.time() + 10.0))
             await asyncio.sleep(0.05)
             assert not drained.done()
-            listener.drain()  # the backlog is empty: the socket is closed
+            listener.drain()  # closes the socket, since the backlog is empty
             await drained
             assert listener.sock.fileno() < 0
 
--- a/tests/downstream/test_idle_connections.py
+++ b/tests/downstream/test_idle_connections.py
@@ -1,4 +1,4 @@
-"""Which connection without a pending reply is closed first to make room."""
+"""The order in which connections without a pending reply are evicted."""
 
 from __future__ import annotations
 
@@ -13,24 +13,31 @@
 
 @dataclass(slots=True, eq=False)
 class FakeConnection:
-    """What the queues need of a connection."""
+    """A connection with only the members that the queues use."""
 
     idle_since: float = NOW - 1.0
     is_closing: bool = False
-    quiet: bool = True
+    are_buffers_empty: bool = True
 
     def has_empty_buffers(self) -> bool:
-        """Whether nothing is lost by a close."""
-        return self.quiet
+        """Return whether closing loses nothing."""
+        return self.are_buffers_empty
 
 
-def fake(idle_since: float = NOW - 1.0, is_closing: bool = False, quiet: bool = True) -> ClientConnection:
-    return cast(ClientConnection, FakeConnection(idle_since, is_closing, quiet))
+def make_connection(
+    idle_since: float = NOW - 1.0, is_closing: bool = False, are_buffers_empty: bool = True
+) -> ClientConnection:
+    return cast(ClientConnection, FakeConnection(idle_since, is_closing, are_buffers_empty))
 
 
-def test_order_of_eviction_is_closing_new_idle_and_the_longest_idle_first() -> None:
+def test_closing_then_new_then_longest_idle_connections_are_evicted() -> None:
     queues = IdleConnections()
-    idle, later_idle, new, closing = fake(), fake(), fake(), fake(is_closing=True)
+    idle, later_idle, new, closing = (
+        make_connection(),
+        make_connection(),
+        make_connection(),
+        make_connection(is_closing=True),
+    )
     queues.add_idle(idle)
     queues.add_idle(later_idle)
     queues.add_new(new)
@@ -42,9 +49,9 @@
     assert evicted == [closing, new, idle, later_idle]
 
 
-def test_new_connection_is_not_evicted_before_its_first_command_can_come() -> None:
+def test_new_connection_is_not_evicted_before_its_minimum_age() -> None:
     queues = IdleConnections()
-    new = fake(idle_since=NOW)
+    new = make_connection(idle_since=NOW)
     queues.add_new(new)
     assert queues.find_eviction_candidate(NOW + MIN_NEW_CONNECTION_AGE_S / 2) is None
     assert queues.find_eviction_candidate(NOW + MIN_NEW_CONNECTION_AGE_S * 2) is new
@@ -52,9 +59,9 @@
 
 def test_connection_with_unread_input_or_unsent_reply_is_not_evicted() -> None:
     queues = IdleConnections()
-    unquiet, quiet = fake(quiet=False), fake()
-    queues.add_idle(unquiet)
-    queues.add_idle(quiet)
-    assert queues.find_eviction_candidate(NOW) is quiet
-    queues.discard(quiet)
+    with_data, without_data = make_connection(are_buffers_empty=False), make_connection()
+    queues.add_idle(with_data)
+    queues.add_idle(without_data)
+    assert queues.find_eviction_candidate(NOW) is without_data
+    queues.discard(without_data)
     assert queues.find_eviction_candidate(NOW) is None
--- a/tests/downstream/test_listener.py
+++ b/tests/downstream/test_listener.py
@@ -1,4 +1,4 @@
-"""The bound on client connections, and which of them are closed for new ones."""
+"""The limit of client connections, and the eviction of connections for new ones."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from tests.support.peers import Caller, backend, command, config, entry, resp, run, until
 
 
-def test_connections_are_bounded_and_idle_ones_are_evicted() -> None:
+def test_idle_connection_is_evicted_at_the_connection_limit() -> None:
     async def body() -> None:
         async with serving(config()) as (ingress, address):
-            ingress.listener.max_connections = 3  # the last place is kept free
+            ingress.listener.max_connections = 3  # one slot is kept free for new connections
             callers = [await Caller.to(address) for _ in range(2)]
             for caller in callers:
                 assert await caller.ask(resp(b"PING")) == b"PONG"
@@ -30,7 +30,7 @@
 
 
 def test_connection_just_accepted_is_not_evicted() -> None:
-    """Many clients with a connection each: new ones wait in the backlog, and none is closed."""
+    """With many clients of one connection each, new connections wait in the backlog and none is closed."""
 
     async def body() -> None:
         async with serving(config()) as (ingress, address):
@@ -46,20 +46,20 @@
     run(body())
 
 
-def test_silent_clients_do_not_keep_others_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hundreds connect and say nothing: they go first, those that have asked stay."""
+def test_silent_clients_do_not_lock_out_other_clients(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Of hundreds of connections, those that have sent no command are evicted before the others."""
     monkeypatch.setattr(idle_connections, "MIN_NEW_CONNECTION_AGE_S", 0.0)
 
     async def body() -> None:
         async with serving(config()) as (ingress, address):
             ingress.listener.max_connections = 40
-            usual = await Caller.to(address)
-            assert await usual.ask(resp(b"PING")) == b"PONG"
+            active = await Caller.to(address)
+            assert await active.ask(resp(b"PING")) == b"PONG"
             silent = [await Caller.to(address) for _ in range(200)]
-            late = await Caller.to(address)
+            later = await Caller.to(address)
             for _ in range(3):
-                assert await late.ask(resp(b"PING")) == b"PONG"
-                assert await usual.ask(resp(b"PING")) == b"PONG"
+                assert await later.ask(resp(b"PING")) == b"PONG"
+                assert await active.ask(resp(b"PING")) == b"PONG"
             assert len(ingress.listener.connections) <= 40
             for caller in silent:
                 caller.writer.close()
@@ -69,7 +69,7 @@
 
 @pytest.mark.parametrize("how", ["drain", "idle", "room"])
 def test_unread_request_keeps_its_connection_open(how: str) -> None:
-    """The close comes first though the request is in the socket: it would be a reset, and lose it."""
+    """Closing a connection with an unread request in the socket would reset it and lose the request."""
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
@@ -77,7 +77,8 @@
             sock.sendall(resp(b"PING"))
             [client] = await client_connections(ingress, 1)
             await until(lambda: client in ingress.listener.idle_connections.answered)
-            sock.sendall(command("late"))  # in the socket at once, and the loop has no turn before the close
+            # The command stays unread in the socket, since the event loop does not run before the close.
+            sock.sendall(command("late"))
             if how == "drain":
                 ingress.listener.drain()
             elif how == "idle":
@@ -85,10 +86,10 @@
             else:
                 ingress.listener.evict_connection()
             sock.setblocking(False)
-            loop, got = asyncio.get_running_loop(), b""
-            while b"late" not in got:
-                got += (more := await loop.sock_recv(sock, 1000))
-                assert more
+            loop, received = asyncio.get_running_loop(), b""
+            while b"late" not in received:
+                received += (chunk := await loop.sock_recv(sock, 1000))
+                assert chunk
             sock.close()
 
     run(body())
@@ -131,11 +132,11 @@
             )
             ingress.listener.evict_connection()
             sock.setblocking(False)
-            loop, got = asyncio.get_running_loop(), 0
-            while got < size // 1_000_000 * (1_000_000 + len(b"$1000000\r\n\r\n")):
-                more = await loop.sock_recv(sock, 1 << 20)
-                assert more
-                got += len(more)
+            loop, received = asyncio.get_running_loop(), 0
+            while received < size // 1_000_000 * (1_000_000 + len(b"$1000000\r\n\r\n")):
+                chunk = await loop.sock_recv(sock, 1 << 20)
+                assert chunk
+                received += len(chunk)
             sock.close()
 
     run(body())
--- a/tests/downstream/test_timeouts.py
+++ b/tests/downstream/test_timeouts.py
@@ -1,4 +1,4 @@
-"""How long a connection without a pending reply stays open."""
+"""The idle timeout of a connection without a pending reply."""
 
 from __future__ import annotations
 
@@ -21,5 +21,7 @@
         (False, True, 0.0),
     ],
 )
-def test_idle_timeout(is_new: bool, is_draining: bool, expected_s: float) -> None:
+def test_idle_timeout_depends_on_first_command_and_draining(
+    is_new: bool, is_draining: bool, expected_s: float
+) -> None:
     assert idle_timeout_s(is_new=is_new, is_draining=is_draining) == expected_s
--- a/tests/process/test_attempt_dispatcher.py
+++ b/tests/process/test_attempt_dispatcher.py
@@ -1,4 +1,4 @@
-"""Attempts: one in flight of each request, and none sent for a request that is over."""
+"""Attempts: at most one in flight per request, and none sent for an answered or cancelled request."""
 
 from __future__ import annotations
 
@@ -15,12 +15,12 @@
             serving(config(entry(one.address), entry(two.address, "s2"))) as (ingress, address),
         ):
 
-            def plan(event: api.Event) -> list[api.Action]:
+            def decide(event: api.Event) -> list[api.Action]:
                 if isinstance(event, api.TimerFired):
                     return [api.SendAttempt("1", "s2")]
                 return [*send_to_s1(event), api.SetTimer(0.1, 1)] if isinstance(event, api.Request) else []
 
-            gateway = script_gateway(ingress, plan)
+            gateway = script_gateway(ingress, decide)
             caller = await Caller.to(address)
             assert await caller.ask(command("x")) == b"x"
             assert [e.outcome for e in gateway.events_of(api.AttemptEnded)] == [
@@ -39,26 +39,26 @@
             serving(config(entry(peer.address))) as (ingress, address),
         ):
 
-            def plan(event: api.Event) -> list[api.Action]:
-                again = isinstance(event, api.AttemptEnded) and not event.finished and event.attempt < 4
-                return [api.SendAttempt(event.id, "s1")] if again else send_to_s1(event)  # type: ignore[union-attr]
+            def decide(event: api.Event) -> list[api.Action]:
+                must_retry = isinstance(event, api.AttemptEnded) and not event.finished and event.attempt < 4
+                return [api.SendAttempt(event.id, "s1")] if must_retry else send_to_s1(event)  # type: ignore[union-attr]
 
-            gateway = script_gateway(ingress, plan)
+            gateway = script_gateway(ingress, decide)
             caller = await Caller.to(address)
             assert str(await caller.ask(command(d=300))) == "ERR failed"
-            ends = [(e.attempt, e.outcome) for e in gateway.events_of(api.AttemptEnded)]
-            assert ends == [*((n, api.Outcome.ERROR) for n in range(4)), (4, api.Outcome.SUPERSEDED)]
+            outcomes = [(e.attempt, e.outcome) for e in gateway.events_of(api.AttemptEnded)]
+            assert outcomes == [*((n, api.Outcome.ERROR) for n in range(4)), (4, api.Outcome.SUPERSEDED)]
 
     run(body())
 
 
-def test_attempt_waiting_for_a_connection_is_not_sent_after_the_client_has_left() -> None:
-    """The client leaves while the connection to the backend comes up: it is not written when it is up."""
+def test_attempt_waiting_for_a_connection_is_not_sent_after_the_client_disconnects() -> None:
+    """If the client disconnects during the connect, the attempt is not written once the connection is up."""
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
             gateway = script_gateway(ingress, send_to_s1)
-            ingress.pool.loop = late = DelayedConnections()  # type: ignore[assignment]
+            ingress.pool.loop = delayed = DelayedConnections()  # type: ignore[assignment]
             caller = await Caller.to(address)
             caller.writer.write(command("00000000000000aa"))
             await until(lambda: ingress.pool.connection_count)
@@ -70,9 +70,9 @@
             assert not ingress.requests
             assert not ingress.attempt_dispatcher.in_flight
             assert peer.connections == 0
-            late.up.set()
-            [target] = ingress.pool.endpoints.contacted.values()
-            await until(lambda: target.idle)
+            delayed.up.set()
+            [endpoint] = ingress.pool.endpoints.contacted.values()
+            await until(lambda: endpoint.idle)
             other = await Caller.to(address)
             assert await other.ask(command("00000000000000bb")) == b"00000000000000bb"
             assert [words[2] for words in peer.commands] == [b"00000000000000bb"]
@@ -82,7 +82,7 @@
     run(body())
 
 
-def test_attempt_waiting_for_connection_reuse_is_dropped_when_the_client_leaves() -> None:
+def test_attempt_waiting_for_connection_reuse_is_dropped_when_the_client_disconnects() -> None:
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
             gateway = script_gateway(ingress, send_to_s1)
@@ -93,7 +93,8 @@
             await until(lambda: len(gateway.events_of(api.Request)) == 2)
             caller.writer.close()
             await until(lambda: gateway.events_of(api.RequestCancelled))
-            assert await other.ask(command("later")) == b"later"  # it waits behind the one that is dropped
+            # This request waits for the same connection, behind the dropped attempt.
+            assert await other.ask(command("later")) == b"later"
             assert [words[2] for words in peer.commands] == [b"first", b"later"]
 
     run(body())
--- a/tests/process/test_configuration.py
+++ b/tests/process/test_configuration.py
@@ -1,4 +1,4 @@
-"""EDGE_CONFIG: typed values, and one message that names the key when it can't be used."""
+"""The configuration file: its values, and the message that names the key if a value is invalid."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
 from tests.support.peers import SETTINGS, config_text, entry
 
 
-def test_configuration_is_read() -> None:
+def test_valid_configuration_is_read() -> None:
     config = read_config(config_text(entry(("127.0.0.1", 6379)), listen="127.0.0.1:6380"))
     assert config.listen == ("127.0.0.1", 6380)
     assert config.seed == 0x8C1F30D27A5BE964
@@ -49,14 +49,14 @@
         ({"settings": SETTINGS | {"limits": {"keepalive-s": 0}}}, "keepalive-s"),
     ],
 )
-def test_error_names_the_key(changes: dict[str, Any], key: str) -> None:
+def test_error_message_names_the_invalid_key(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigurationError) as caught:
         read_config(config_text(**changes))
     assert key in str(caught.value)
     assert "\n" not in str(caught.value)
 
 
-def test_endlessly_nested_file_is_rejected() -> None:
+def test_deeply_nested_file_is_rejected() -> None:
     with pytest.raises(ConfigurationError, match="EDGE_CONFIG"):
         read_config("[" * 100_000)
 
@@ -64,11 +64,13 @@
 @pytest.mark.parametrize(
     ("text", "key"), [(None, "EDGE_CONFIG"), ("{", "EDGE_CONFIG"), (config_text(seed="xyz"), "seed")]
 )
-def test_program_exits_with_one_line_that_names_the_error(text: str | None, key: str, tmp_path: Path) -> None:
+def test_program_exits_with_one_line_that_names_the_invalid_key(
+    text: str | None, key: str, tmp_path: Path
+) -> None:
     path = tmp_path / "config.json"
     if text is not None:
         path.write_text(text, encoding="utf-8")
-    done = subprocess.run(
+    completed = subprocess.run(
         [sys.executable, "-m", "ingress"],
         cwd=ROOT,
         capture_output=True,
@@ -76,6 +78,6 @@
         timeout=60,
         env=os.environ | {"EDGE_CONFIG": str(path)},
     )
-    assert done.returncode != 0
-    [line] = done.stderr.splitlines()
+    assert completed.returncode != 0
+    [line] = completed.stderr.splitlines()
     assert key in line
--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -1,4 +1,4 @@
-"""How much of a client's deadline the decision module is given."""
+"""The part of a client's waiting time that the decision module may use."""
 
 from __future__ import annotations
 
@@ -8,9 +8,11 @@
 
 
 @pytest.mark.parametrize(("client_time", "expected"), [(4.0, 3.98), (0.2, 0.18), (0.1, 0.09), (0.0, 0.0)])
-def test_the_margin_is_fixed_and_at_most_a_tenth(client_time: float, expected: float) -> None:
+def test_margin_is_constant_and_at_most_a_tenth_of_the_waiting_time(
+    client_time: float, expected: float
+) -> None:
     assert decision_time(client_time) == pytest.approx(expected)
 
 
-def test_the_margin_of_a_long_deadline_is_exact() -> None:
+def test_margin_of_a_long_waiting_time_is_exact() -> None:
     assert decision_time(10.0) == 10.0 - DECISION_MARGIN_S
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -1,4 +1,4 @@
-"""The real program at its limit of descriptors: idle clients hold theirs, all other parts keep their own."""
+"""The program at its file descriptor limit: idle clients leave descriptors for all other parts."""
 
 from __future__ import annotations
 
@@ -23,17 +23,17 @@
 )
 from tests.support.process import free_port, listening
 
-SOCKETS = 96  # descriptors that the program may hold
-IDLE_CLIENTS = 3 * SOCKETS
-KEPT = 24  # for the watch, the counter and backends
-COUNTED = SETTINGS | {
+MAX_DESCRIPTORS = 96  # file descriptor limit of the program
+IDLE_CLIENT_COUNT = 3 * MAX_DESCRIPTORS
+RESERVED_DESCRIPTORS = 24  # for the watch, the counter and backends; clients must leave them free
+SETTINGS_WITH_COUNTER = SETTINGS | {
     "contracts": [{"name": "basic", "refill": 1.0, "burst": 1.2}],
     "family-info": {"counter": True, "count-wait-s": 1.0, "most-units": 8},
 }
 
 
-def counter() -> Peer:
-    """Answers each call with what it adds."""
+def echoing_counter() -> Peer:
+    """Return a counter that answers each call with the amount that the call adds."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while line := await reader.readline():
@@ -44,26 +44,26 @@
     return peer
 
 
-def discovery(known: bytes, port: int) -> Peer:
-    """Serves one endpoint list, and then no change."""
+def agent_with_list(endpoint_list: bytes, port: int) -> Peer:
+    """Return a discovery agent that answers with the endpoint list first, and then with no change."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
             peer.commands.append(head.split(b" ")[:2])
             if len(peer.commands) > 1:
                 await asyncio.sleep(0.5)
-            body = known if len(peer.commands) == 1 else b'{"version":2,"full":false,"servers":[]}'
+            body = endpoint_list if len(peer.commands) == 1 else b'{"version":2,"full":false,"servers":[]}'
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
     peer = Peer(script, port)
     return peer
 
 
-async def served(address: Address, counts: Peer) -> None:
-    """Asks until a request is served and the counter was asked: the list of backends has come then."""
+async def request_until_served(address: Address, counter_peer: Peer) -> None:
+    """Send requests until one is served, which needs the endpoint list, and the counter has been called."""
     customer = 0
     answers = set[bytes | str]()
-    while b"00000000000000aa" not in answers or not counts.commands:
+    while b"00000000000000aa" not in answers or not counter_peer.commands:
         customer += 1
         with suppress(EOFError, ConnectionError):
             caller = await Caller.to(address)
@@ -71,43 +71,46 @@
         await asyncio.sleep(0.05)
 
 
-async def ping(address: Address) -> None:
-    """Waits until a new connection is answered."""
+async def ping_on_new_connection(address: Address) -> None:
+    """Open a connection and wait for the answer to a PING."""
     assert await (await Caller.to(address)).ask(resp(b"PING")) == b"PONG"
 
 
-def descriptors(process: asyncio.subprocess.Process) -> int:
-    """How many the program holds."""
+def count_descriptors(process: asyncio.subprocess.Process) -> int:
+    """Return the number of file descriptors that the program holds."""
     return len(os.listdir(f"/proc/{process.pid}/fd"))
 
 
 def test_idle_clients_leave_descriptors_for_discovery_counter_and_backends(tmp_path: Path) -> None:
     async def body() -> None:
-        agent = ("127.0.0.1", free_port())
+        agent_address = ("127.0.0.1", free_port())
         async with (
-            backend() as server,
-            counter() as counts,
+            backend() as backend_peer,
+            echoing_counter() as counter_peer,
             listening(
                 tmp_path,
-                descriptors=SOCKETS,
-                discovery=f"127.0.0.1:{agent[1]}",
-                settings=COUNTED,
-                counter="{}:{}".format(*counts.address),
-                limits={"cores": 1.0, "memory_mb": 192, "sockets": SOCKETS},
+                descriptors=MAX_DESCRIPTORS,
+                discovery=f"127.0.0.1:{agent_address[1]}",
+                settings=SETTINGS_WITH_COUNTER,
+                counter="{}:{}".format(*counter_peer.address),
+                limits={"cores": 1.0, "memory_mb": 192, "sockets": MAX_DESCRIPTORS},
             ) as (process, address),
         ):
-            known = json.dumps({"version": 2, "full": True, "servers": [entry(server.address)]}).encode()
-            idle = [await Caller.to(address) for _ in range(IDLE_CLIENTS)]
-            pinged = asyncio.create_task(ping(address))  # answered once those before it had their turn
-            while not pinged.done():
-                assert descriptors(process) <= SOCKETS - KEPT
+            endpoint_list = json.dumps(
+                {"version": 2, "full": True, "servers": [entry(backend_peer.address)]}
+            ).encode()
+            idle_clients = [await Caller.to(address) for _ in range(IDLE_CLIENT_COUNT)]
+            # The ping is answered after the idle connections, which are in front of it in the backlog.
+            ping_task = asyncio.create_task(ping_on_new_connection(address))
+            while not ping_task.done():
+                assert count_descriptors(process) <= MAX_DESCRIPTORS - RESERVED_DESCRIPTORS
                 await asyncio.sleep(0.01)
-            async with discovery(known, agent[1]):
-                await served(address, counts)
-            assert counts.commands
-            assert server.commands
+            async with agent_with_list(endpoint_list, agent_address[1]):
+                await request_until_served(address, counter_peer)
+            assert counter_peer.commands
+            assert backend_peer.commands
             assert process.returncode is None
-            for each in idle:
-                each.writer.close()
+            for client in idle_clients:
+                client.writer.close()
 
     run(body())
--- a/tests/process/test_ingress.py
+++ b/tests/process/test_ingress.py
@@ -1,4 +1,4 @@
-"""The whole ingress on sockets: its start, a value's way through it, and faults of the decision module."""
+"""The whole ingress on sockets: startup, forwarding, and exceptions in the decision module."""
 
 from __future__ import annotations
 
@@ -26,8 +26,8 @@
 )
 
 
-def test_ingress_pauses_after_its_start_before_it_listens(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process that listened first left requests unread for as long as its start had taken: 1.2 s."""
+def test_ingress_pauses_at_startup_before_it_listens(monkeypatch: pytest.MonkeyPatch) -> None:
+    """A process that listened at once left requests unread for 1.2 s while its startup was throttled."""
 
     async def body() -> None:
         monkeypatch.setattr(ingress_module, "STARTUP_PAUSE_S", 3600.0)
@@ -45,14 +45,14 @@
 
 
 @pytest.mark.parametrize("body", [b"x", bytes(range(256)) * 256])
-def test_value_goes_through_unchanged(body: bytes) -> None:
+def test_value_is_forwarded_unchanged(body: bytes) -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         words = await read_command(reader)
         peer.commands.append(words)
         writer.write(value(words[4]))
         await reader.read()
 
-    async def play() -> None:
+    async def scenario() -> None:
         async with peer, serving(config(entry(peer.address))) as (_, address):
             caller = await Caller.to(address)
             assert await caller.ask(command(cls="order", body=body)) == body
@@ -62,22 +62,22 @@
             assert b"k=0123456789abcdef" in words[3].split(b",")
 
     peer = Peer(script)
-    run(play())
+    run(scenario())
 
 
-def test_fault_in_the_decision_module_fails_one_request_only(caplog: pytest.LogCaptureFixture) -> None:
-    """What the module had decided before it failed is carried out: its next timer, above all."""
+def test_exception_in_the_decision_module_fails_only_one_request(caplog: pytest.LogCaptureFixture) -> None:
+    """The actions from before the exception are executed, in particular the module's next timer."""
 
     async def body() -> None:
         async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
 
-            def plan(event: api.Event) -> list[api.Action]:
+            def decide(event: api.Event) -> list[api.Action]:
                 if isinstance(event, api.Request) and event.customer.endswith("9"):
                     gateway.actions.append(api.SetTimer(0.0, 5))
                     raise RuntimeError("a fault")
                 return send_to_s1(event)
 
-            gateway = script_gateway(ingress, plan)
+            gateway = script_gateway(ingress, decide)
             caller = await Caller.to(address)
             caller.writer.write(command("one") + command("two", customer=9) + command("three"))
             assert await caller.answer() == b"one"
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -1,4 +1,4 @@
-"""SIGHUP: the configuration is read again by the real program, and discovery and counter move."""
+"""SIGHUP: the program reads its configuration again and applies new discovery and counter addresses."""
 
 from __future__ import annotations
 
@@ -31,27 +31,27 @@
 from tests.support.process import CONFIG_FILE, free_port, listening, log_line, running
 
 
-def test_program_follows_a_new_configuration_and_rejects_a_bad_one(tmp_path: Path) -> None:
+def test_program_applies_a_new_configuration_and_rejects_an_invalid_one(tmp_path: Path) -> None:
     path = tmp_path / CONFIG_FILE
 
-    def at(agent: ScriptedAgent) -> str:
+    def address_text(agent: ScriptedAgent) -> str:
         return "{}:{}".format(*agent.peer.address)
 
     async def body() -> None:
         async with backend(value(b"one")) as one, backend(value(b"two")) as two:
             first = ScriptedAgent(list_body(40, True, entry(one.address)))
-            # The new agent counts its versions anew, and closes the first call that it gets.
+            # The new agent numbers its versions differently, and closes the connection of its first call.
             second = ScriptedAgent(b"", list_body(3, True, entry(two.address, "s2")))
             async with (
                 first.peer,
                 second.peer,
-                listening(tmp_path, discovery=at(first)) as (process, here),
+                listening(tmp_path, discovery=address_text(first)) as (process, address),
             ):
 
-                def text(agent: ScriptedAgent) -> str:
-                    return config_text(listen="{}:{}".format(*here), discovery=at(agent))
+                def new_config_text(agent: ScriptedAgent) -> str:
+                    return config_text(listen="{}:{}".format(*address), discovery=address_text(agent))
 
-                caller = await Caller.to(here)
+                caller = await Caller.to(address)
                 await until(lambda: len(first.asked) == 2)
                 assert await caller.ask(command()) == b"one"
                 for bad, key in (("{", "EDGE_CONFIG"), (config_text(seed="xyz"), "seed")):
@@ -62,18 +62,18 @@
                 process.send_signal(signal.SIGHUP)
                 await log_line(process, "configuration rejected", "EDGE_CONFIG")
                 assert await caller.ask(command()) == b"one"
-                path.write_text(text(first), encoding="utf-8")  # no change: the watch goes on
+                path.write_text(new_config_text(first), encoding="utf-8")  # unchanged, so the watch continues
                 process.send_signal(signal.SIGHUP)
                 await log_line(process, "configuration reloaded")
                 assert first.peer.connections == 1
                 assert not first.peer.ended
-                path.write_text(text(second), encoding="utf-8")
+                path.write_text(new_config_text(second), encoding="utf-8")
                 process.send_signal(signal.SIGHUP)
                 await until(lambda: len(second.asked) >= 3 and first.peer.ended)
                 assert second.asked[:2] == ["/api/targets"] * 2
                 assert await caller.ask(command()) == b"two"
-                # And back, while the program shuts down: it still follows SIGHUP then.
-                path.write_text(text(first), encoding="utf-8")
+                # SIGHUP still takes effect during the shutdown: the program switches back to the first agent.
+                path.write_text(new_config_text(first), encoding="utf-8")
                 process.send_signal(signal.SIGTERM)
                 process.send_signal(signal.SIGHUP)
                 await until(lambda: first.peer.connections == 2)
@@ -88,38 +88,38 @@
             agents = [ScriptedAgent(list_body(1, True)) for _ in range(3)]
             async with agents[0].peer, agents[1].peer, agents[2].peer:
 
-                def at(agent: ScriptedAgent, counter: Peer) -> dict[str, str]:
+                def peer_addresses(agent: ScriptedAgent, counter: Peer) -> dict[str, str]:
                     return {
                         "discovery": "{}:{}".format(*agent.peer.address),
                         "counter": "{}:{}".format(*counter.address),
                     }
 
                 base = SETTINGS | {"family-info": {"counter": True, "count-wait-s": 5.0}}
-                ingress = Ingress(config(settings=base, **at(agents[0], old)))
+                ingress = Ingress(config(settings=base, **peer_addresses(agents[0], old)))
                 stop = asyncio.Event()
                 task = asyncio.create_task(ingress.run(stop))
                 assert ingress.counter is not None
                 await until(lambda: len(agents[0].asked) == 2)
                 ingress.counter.increment(7, 1.0, 60.0)
                 await until(lambda: old.commands)
-                before = len(asyncio.all_tasks())
+                task_count_before = len(asyncio.all_tasks())
                 for agent, counter in ((agents[1], new), (agents[2], new), (agents[2], new)):
-                    ingress.reload(config(settings=base, **at(agent, counter)))
+                    ingress.reload(config(settings=base, **peer_addresses(agent, counter)))
                 await until(lambda: len(agents[2].asked) == 2 and old.ended and agents[0].peer.ended)
                 await until(lambda: agents[1].peer.ended == agents[1].peer.connections)
                 assert agents[2].peer.connections == 1
                 ingress.counter.increment(7, 1.0, 60.0)
                 await until(lambda: new.commands)
-                # One watch, and what the scripted peers keep for the ends that stand.
-                assert len(asyncio.all_tasks()) <= before
+                # One watch, and the tasks of the scripted peers for their open connections.
+                assert len(asyncio.all_tasks()) <= task_count_before
                 stop.set()
                 await task
 
     run(body())
 
 
-def test_reload_before_the_watch_starts_asks_the_new_agent_for_the_whole_list() -> None:
-    """Its versions may count anew: changes since the known one would leave backends out for good."""
+def test_reload_before_the_watch_starts_fetches_the_full_list_from_the_new_agent() -> None:
+    """The new agent may number versions differently, so changes since a known version may omit backends."""
 
     async def body() -> None:
         old, new = ScriptedAgent(list_body(1, True)), ScriptedAgent(list_body(50, True), list_body(51, False))
@@ -127,9 +127,9 @@
             ingress = Ingress(config(entry(("127.0.0.1", 1)), discovery="{}:{}".format(*old.peer.address)))
             stop = asyncio.Event()
             task = asyncio.create_task(ingress.run(stop))
-            await asyncio.sleep(0)  # it waits, and does not listen yet
+            await asyncio.sleep(0)  # the startup pause has begun; the ingress does not listen yet
             ingress.reload(config(discovery="{}:{}".format(*new.peer.address)))
-            assert ingress.watch is None  # it begins once, when the start is made up for
+            assert ingress.watch is None  # the watch starts only once, after the startup pause
             await until(lambda: len(new.asked) == 3)
             assert new.asked[0] == "/api/targets"
             assert not old.asked
@@ -160,11 +160,13 @@
 
 
 @pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
-def test_signal_during_start_up_waits_for_its_handler(number: signal.Signals, tmp_path: Path) -> None:
-    """Sent before the first of its own modules is read: it kills the process where nothing blocks it."""
+def test_signal_during_startup_stays_pending_until_its_handler_is_set(
+    number: signal.Signals, tmp_path: Path
+) -> None:
+    """The signal arrives while the program imports its modules; unblocked, it would kill the process."""
     path, stub = tmp_path / CONFIG_FILE, tmp_path / "uvloop.py"
     text = config_text(listen=f"127.0.0.1:{free_port()}")
-    # Stands where uvloop would be found, signals the process as it is loaded, and makes way for the real one.
+    # This module is found in place of uvloop; it signals the process and then imports the real uvloop.
     stub.write_text(
         f"import os, sys\nos.kill(os.getpid(), {int(number)})\nsys.path.remove({str(tmp_path)!r})\n"
         "del sys.modules['uvloop']\nimport uvloop\n",
@@ -184,7 +186,7 @@
     run(body())
 
 
-def test_endpoint_list_of_the_configuration_is_released_after_the_start(
+def test_endpoint_list_of_the_configuration_is_released_after_startup(
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def body() -> None:
@@ -196,7 +198,7 @@
             ingress.reload(started)
 
     run(body())
-    assert "restart required" not in caplog.text  # the list is no part of what a reload compares
+    assert "restart required" not in caplog.text  # a reload does not compare the endpoint list
 
 
 def test_only_changes_that_a_reload_does_not_apply_require_a_restart() -> None:
--- a/tests/process/test_request_service.py
+++ b/tests/process/test_request_service.py
@@ -1,4 +1,4 @@
-"""Requests of clients: one final answer each, in time, and bounds on those in flight."""
+"""Client requests: one final answer each by the deadline, and limits of the requests in flight."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 @pytest.mark.parametrize("sent", [True, False])
-def test_final_answer_comes_in_time_whatever_module_and_peer_do(sent: bool) -> None:
+def test_final_answer_is_enforced_when_module_and_backend_are_silent(sent: bool) -> None:
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             gateway = script_gateway(ingress, send_to_s1 if sent else None)
@@ -45,7 +45,7 @@
 
 
 def test_decision_module_answers_before_the_deadline_is_enforced() -> None:
-    """A silent backend: the attempt's time is up first, and the module gives the final answer."""
+    """With a silent backend, the attempt times out first and the module gives the final answer."""
 
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
@@ -57,7 +57,7 @@
     run(body())
 
 
-def test_rejection_carries_its_retry_after() -> None:
+def test_rejection_includes_its_retry_after() -> None:
     async def body() -> None:
         async with serving(config()) as (ingress, address):
             waits = {"1": 0.0, "2": 1.2501}
@@ -93,7 +93,7 @@
     run(body())
 
 
-def test_client_id_in_flight_is_not_accepted_twice() -> None:
+def test_client_request_id_in_flight_is_not_accepted_twice() -> None:
     async def body() -> None:
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             script_gateway(ingress, send_to_s1)
@@ -102,7 +102,7 @@
             await until(lambda: peer.commands)
             assert "open request" in str(await two.ask(command("same")))
             assert str(await one.answer()) == "ERR failed"
-            two.writer.write(command("same", d=300))  # its first bearer is over
+            two.writer.write(command("same", d=300))  # allowed again, since the first request is answered
             assert str(await two.answer()) == "ERR failed"
             assert len(peer.commands) == 2
             assert not ingress.requests.unanswered_client_request_ids
