--- a/ingress/downstream/commands.py
+++ b/ingress/downstream/commands.py
@@ -13,7 +13,7 @@
 REQUEST_ID_PATTERN = re.compile(rb"[!-~]{1,128}")
 INTEGER_PATTERN = re.compile(r"[0-9]{1,9}")
 DECIMAL_PATTERN = re.compile(r"[0-9]{1,9}(\.[0-9]{1,9})?")
-REQUIRED_FIELDS = ("c", "t", "d")  # request class, plan, milliseconds for which the client waits
+REQUIRED_FIELDS = ("c", "t", "d")
 OK_REPLY = b"+OK\r\n"
 PONG_REPLY = b"+PONG\r\n"
 
@@ -76,6 +76,10 @@
 class CommandParser:
     """Parses API.READ and API.WRITE.
 
+    The field list of these commands has the fields c (request class), t (plan), d (milliseconds for which the
+    client waits), k (idempotency key), units, spread (number of assigned instances), first (index of the
+    first of them) and r (1 if the command is a client's retry).
+
     Request classes, plans and value ranges are checked against the settings.  A command that a backend
     would reject is rejected here, so that it cannot use up the customer's quota.
     """
@@ -87,7 +91,7 @@
         self.max_request_units = settings.max_request_units
 
     def parse(self, verb: bytes, arguments: list[bytes]) -> Command:
-        """Return the parsed command; `arguments` includes the verb, which may be in any case there.
+        """Return the parsed command; `verb` is the first of the arguments in upper case.
 
         Raise CommandError for the first rule that the command breaks.
         """
--- a/ingress/downstream/connection.py
+++ b/ingress/downstream/connection.py
@@ -54,7 +54,7 @@
     def data_received(self, data: bytes) -> None:
         """Buffer received input and execute the commands that it completes."""
         if self.is_closing:
-            self._discard(len(data))
+            self._discard_input(len(data))
             return
         self.last_received_at = self.owner.clock()
         self.buffer.append(data)
@@ -192,7 +192,7 @@
         text = reason.encode("ascii", "replace").replace(b"\r", b" ").replace(b"\n", b" ")
         self._add_pending_reply().answer(b"-ERR %b\r\n" % text)
 
-    def _discard(self, size: int) -> None:
+    def _discard_input(self, size: int) -> None:
         """Discard input of a closing connection, since closing with unread input would be a reset."""
         self.discarded_bytes += size
         if self.discarded_bytes > MAX_DISCARDED_BYTES and self.transport is not None:
@@ -236,12 +236,12 @@
             self.transport.pause_reading()
             if self.disconnect_check_timer is None:
                 self.disconnect_check_timer = self.owner.loop.call_later(
-                    DISCONNECT_CHECK_INTERVAL_S, self._check_disconnected
+                    DISCONNECT_CHECK_INTERVAL_S, self._check_for_disconnect
                 )
         else:
             self.transport.resume_reading()
 
-    def _check_disconnected(self) -> None:
+    def _check_for_disconnect(self) -> None:
         """Detect a disconnect, which the event loop does not report while reading is paused."""
         self.disconnect_check_timer = None
         if self.transport is not None and is_closed_by_peer(self.sock):
--- a/ingress/downstream/idle_connections.py
+++ b/ingress/downstream/idle_connections.py
@@ -16,11 +16,9 @@
     """
 
     def __init__(self) -> None:
-        self.closing: dict[
-            ClientConnection, None
-        ] = {}  # has written its last reply and waits for its client to close
-        self.new: dict[ClientConnection, None] = {}  # has not sent a command
-        self.answered: dict[ClientConnection, None] = {}  # has answered all of its commands
+        self.closing: dict[ClientConnection, None] = {}  # last reply written; the client has yet to close
+        self.new: dict[ClientConnection, None] = {}  # no command received yet
+        self.answered: dict[ClientConnection, None] = {}  # all commands answered
 
     def add_new(self, connection: ClientConnection) -> None:
         """Add a connection that has just been established."""
--- a/ingress/downstream/listener.py
+++ b/ingress/downstream/listener.py
@@ -23,10 +23,10 @@
 log = logging.getLogger(__name__)
 
 LISTEN_BACKLOG = 512  # connections that the kernel queues until they are accepted
-MAX_ACCEPTS_PER_CALLBACK = 16  # connections accepted at once, and at most as many slots kept free for them
+MAX_ACCEPTS_PER_CALLBACK = 16  # connections accepted in one batch
 SWEEP_INTERVAL_S = 0.25  # between checks of the timeouts of all connections
 MAX_LOGGED_FAULTS = 50  # malformed commands or failed accepts that are logged one by one
-LOG_SAMPLE_INTERVAL = 1000  # every 1000th later fault is logged, since clients may cause them at any rate
+LOG_SAMPLE_INTERVAL = 1000  # of later faults every 1000th is logged, since clients may cause many
 
 
 class ClientListener:
@@ -93,7 +93,7 @@
             connection.close_if_idle()
 
     def evict_connection(self) -> None:
-        """Make room by aborting the connection whose client loses least by it."""
+        """Make room by aborting the connection whose client loses least by it, if any may be evicted."""
         connection = self.idle_connections.find_eviction_candidate(self.clock())
         if connection is not None:
             self.idle_connections.discard(connection)
@@ -162,6 +162,7 @@
         task = self.loop.create_task(self._attach_transport(connection, sock))
         self.accept_tasks.add(task)
         task.add_done_callback(self.accept_tasks.discard)
+        # Keep slots free for one batch of new connections, but for at most an eighth of all connections.
         remaining_count = len(self.connections) - len(self.evicted)
         if remaining_count > self.max_connections - max(
             1, min(MAX_ACCEPTS_PER_CALLBACK, self.max_connections // 8)
@@ -183,6 +184,7 @@
             self.loop.remove_reader(self.sock)
 
     def _resume_accepting(self) -> None:
+        """Accept connections again unless the listening socket is closed."""
         if self.is_accept_paused and self.sock.fileno() >= 0:
             self.is_accept_paused = False
             if self.is_draining:
@@ -210,6 +212,7 @@
     # Timers and waits
 
     def _sweep(self) -> None:
+        """Enforce the timeouts of all connections, and accept again if accepting was paused."""
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
         now = self.clock()
         for connection in list(self.connections):
--- a/ingress/process/configuration.py
+++ b/ingress/process/configuration.py
@@ -29,8 +29,11 @@
     """The configuration of one ingress."""
 
     name: str
+    """Name of this ingress."""
     listen: Address
+    """Address on which the ingress accepts client connections."""
     discovery: Address
+    """Address of the discovery agent."""
     counter: Address | None
     """Address of the shared counter; None if the settings do not enable it."""
     seed: int
@@ -42,6 +45,7 @@
     known: EndpointList
     """The endpoint list that is used until discovery supplies one."""
     settings: Settings
+    """Settings of the decision module."""
     connect_timeout_s: float
     """Seconds within which a connection to a backend must be established."""
     backend_idle_timeout_s: float
@@ -49,11 +53,13 @@
     max_in_flight: int
     """Maximum number of requests in flight."""
     max_buffered_bytes: int
-    """Maximum bytes each of requests in flight, unprocessed client input and unprocessed backend replies."""
+    """Maximum bytes for each of requests in flight, unprocessed client input and partial backend replies."""
 
 
 @dataclass(frozen=True, slots=True)
 class _ProcessLimits:
+    """The parts of `Config` that are derived from the limits of the process."""
+
     client_sockets: int
     backend_sockets: int
     max_buffered_bytes: int
@@ -124,7 +130,7 @@
     """Divide the file descriptors and the memory of the process among its parts."""
     sockets = int(_get_positive(limits, "sockets", 1024))
     if sockets < MIN_SOCKETS:
-        raise ConfigurationError(f"limits.sockets: {sockets} is too few, {MIN_SOCKETS} are needed")
+        raise ConfigurationError(f"limits.sockets: {sockets} is below the minimum of {MIN_SOCKETS}")
     # Half of the memory beyond the program's own is divided equally among the three users of
     # `max_buffered_bytes`.
     buffer_mb = (_get_positive(limits, "memory_mb", 1024) - PROGRAM_MEMORY_MB) / 6
@@ -139,6 +145,7 @@
 
 
 def _get_typed(source: Mapping[str, Any], key: str, expected_type: type[T]) -> T:
+    """Return the value of a required key; raise ConfigurationError if it is missing or has another type."""
     if key not in source:
         raise ConfigurationError(f"{key}: missing")
     value = source[key]
@@ -155,7 +162,8 @@
 
 
 def _get_positive(source: Mapping[str, Any], key: str, default: float) -> float:
+    """Return the value of an optional key; raise ConfigurationError if it is not a positive number."""
     value = source.get(key, default)
     if isinstance(value, bool) or not isinstance(value, int | float) or not 0 < value < float("inf"):
-        raise ConfigurationError(f"{key}: {value!r} is not a number above 0")
+        raise ConfigurationError(f"{key}: {value!r} is not a positive number")
     return float(value)
--- a/ingress/process/ingress.py
+++ b/ingress/process/ingress.py
@@ -48,6 +48,7 @@
         self.rng = random.Random(config.seed)  # for the backoff of discovery
         self.feed = EventQueue(self._handle_event).feed  # hands an event to the decision module
         self.is_closed = False
+        # List version from which the watch continues; None if it must fetch the full list first.
         self.restored_version = config.known.version if config.known.backends else None
         self.watch: asyncio.Task[None] | None = None
         self.requests = InFlightRequests(config.max_in_flight, config.max_buffered_bytes)
--- a/ingress/process/request_service.py
+++ b/ingress/process/request_service.py
@@ -45,7 +45,7 @@
         self.is_refusing_requests = False  # True at the end of the shutdown: no backend could answer in time
 
     def handle_request(self, reply: PendingReply, command: Command, received_at: float) -> None:
-        """Pass a request on to the decision module, or answer it with BUSY if there is no room for it.
+        """Pass a request on to the decision module, or answer BUSY if requests are refused or too many.
 
         `received_at` is the time on the clock at which the command arrived.  Raise CommandError if the id
         belongs to a request that has not been answered.
@@ -60,7 +60,7 @@
         request.deadline_timer = self.loop.call_later(
             max(0.0, time_left - FINAL_ANSWER_MARGIN_S), self._enforce_deadline, request
         )
-        self.feed(_request_event(request.key, command))
+        self.feed(_create_request_event(request.key, command))
 
     def on_client_disconnected(self, reply: PendingReply) -> None:
         """Cancel the request of the reply if it is in flight and unanswered."""
@@ -75,14 +75,14 @@
         request.reply.answer(data)
 
     def reject(self, key: str, retry_after: float) -> None:
-        """Reject a request; `retry_after` is in seconds, or 0 to send none."""
+        """Give a request the final answer "rejected"; `retry_after` is in seconds, or 0 to send none."""
         if retry_after > 0:
             self._give_final_answer(key, b"-BUSY %d\r\n" % ceil(retry_after * 1000))
         else:
             self._give_final_answer(key, BUSY_REPLY)
 
     def fail(self, key: str) -> None:
-        """Fail a request for the decision module."""
+        """Give a request the final answer "failed"."""
         self._give_final_answer(key, FAILED_REPLY)
 
     def fail_and_cancel(self, request: InFlightRequest) -> None:
@@ -120,7 +120,7 @@
             self.cancel_if_unsent(request.attempt)
 
 
-def _request_event(key: str, command: Command) -> api.Request:
+def _create_request_event(key: str, command: Command) -> api.Request:
     return api.Request(
         key,
         command.request_class,
--- a/tests/downstream/test_back_pressure.py
+++ b/tests/downstream/test_back_pressure.py
@@ -65,11 +65,11 @@
         async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
             gateway = script_gateway(ingress, send_to_s1)
             caller = await Caller.to(address)
-            ahead = pipelined_commands(commands)
+            data = pipelined_commands(commands)
             assert (
-                commands < COMMANDS_ABOVE_COMMAND_SIZE_LIMIT or len(ahead) > command_buffer.MAX_COMMAND_BYTES
+                commands < COMMANDS_ABOVE_COMMAND_SIZE_LIMIT or len(data) > command_buffer.MAX_COMMAND_BYTES
             )
-            caller.writer.write(ahead)
+            caller.writer.write(data)
             await caller.writer.drain()
             await until(lambda: len(ingress.requests) == 4)
             caller.writer.close()
--- a/tests/downstream/test_command_executor.py
+++ b/tests/downstream/test_command_executor.py
@@ -10,7 +10,7 @@
 from tests.support.peers import config
 
 RECEIVED_AT = 1000.0
-VALID = [b"api.read", b"%016x" % 7, b"id-1", b"c=read,t=basic,d=100,units=1,spread=1,first=0"]
+VALID_COMMAND = [b"api.read", b"%016x" % 7, b"id-1", b"c=read,t=basic,d=100,units=1,spread=1,first=0"]
 
 
 class FakeWriter:
@@ -52,7 +52,7 @@
 
 def test_request_goes_to_the_handler_and_is_answered_later() -> None:
     owner = FakeOwner()
-    assert execute(CommandExecutor(owner), *VALID) == (None, None)
+    assert execute(CommandExecutor(owner), *VALID_COMMAND) == (None, None)
     assert owner.requests == [(b"id-1", RECEIVED_AT)]
 
 
@@ -76,7 +76,7 @@
         assert execute(executor, b"NO") == (b"-ERR unknown command\r\n", None)
     assert not executor.is_malformed_limit_reached()
     execute(executor, b"PING")  # does not reset the count; only a request does
-    execute(executor, *VALID)
+    execute(executor, *VALID_COMMAND)
     for _ in range(MAX_MALFORMED_COMMANDS - 1):
         execute(executor)
     assert not executor.is_malformed_limit_reached()
@@ -88,7 +88,7 @@
 
 def test_command_rejected_by_the_handler_gets_an_error_reply() -> None:
     owner = FakeOwner(CommandError("refused"))
-    assert execute(CommandExecutor(owner), *VALID) == (b"-ERR refused\r\n", None)
+    assert execute(CommandExecutor(owner), *VALID_COMMAND) == (b"-ERR refused\r\n", None)
     assert owner.malformed == ["refused"]
 
 
@@ -96,6 +96,6 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     executor = CommandExecutor(FakeOwner(RuntimeError("fault")))
-    assert execute(executor, *VALID) == (INTERNAL_ERROR_REPLY, None)
+    assert execute(executor, *VALID_COMMAND) == (INTERNAL_ERROR_REPLY, None)
     assert [record.getMessage() for record in caplog.records] == ["request failed"]
     assert not executor.is_malformed_limit_reached()
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -29,12 +29,12 @@
 
 def test_replies_are_sent_in_the_order_of_the_commands() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
-        words = await read_command(reader)
-        if words[2] == b"slow":
+        arguments = await read_command(reader)
+        if arguments[2] == b"slow":
             await until(lambda: peer.commands)
         else:
-            peer.commands.append(words)
-        writer.write(value(words[2]))
+            peer.commands.append(arguments)
+        writer.write(value(arguments[2]))
         await reader.read()
 
     async def body() -> None:
@@ -183,9 +183,9 @@
         monkeypatch.setattr(module, name, 0.05)
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
-        words = await read_command(reader)
+        arguments = await read_command(reader)
         await until(lambda: ended)
-        writer.write(value(words[2]))
+        writer.write(value(arguments[2]))
         await reader.read()
 
     async def body() -> None:
--- a/tests/process/test_attempt_dispatcher.py
+++ b/tests/process/test_attempt_dispatcher.py
@@ -75,7 +75,7 @@
             await until(lambda: endpoint.idle)
             other = await Caller.to(address)
             assert await other.ask(command("00000000000000bb")) == b"00000000000000bb"
-            assert [words[2] for words in peer.commands] == [b"00000000000000bb"]
+            assert [arguments[2] for arguments in peer.commands] == [b"00000000000000bb"]
             assert peer.connections == 1
             assert len(gateway.events_of(api.AttemptEnded)) == 2
 
@@ -95,6 +95,6 @@
             await until(lambda: gateway.events_of(api.RequestCancelled))
             # This request waits for the same connection, behind the dropped attempt.
             assert await other.ask(command("later")) == b"later"
-            assert [words[2] for words in peer.commands] == [b"first", b"later"]
+            assert [arguments[2] for arguments in peer.commands] == [b"first", b"later"]
 
     run(body())
--- a/tests/process/test_ingress.py
+++ b/tests/process/test_ingress.py
@@ -47,19 +47,19 @@
 @pytest.mark.parametrize("body", [b"x", bytes(range(256)) * 256])
 def test_value_is_forwarded_unchanged(body: bytes) -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
-        words = await read_command(reader)
-        peer.commands.append(words)
-        writer.write(value(words[4]))
+        arguments = await read_command(reader)
+        peer.commands.append(arguments)
+        writer.write(value(arguments[4]))
         await reader.read()
 
     async def scenario() -> None:
         async with peer, serving(config(entry(peer.address))) as (_, address):
             caller = await Caller.to(address)
             assert await caller.ask(command(cls="order", body=body)) == body
-            [words] = peer.commands
-            assert words[0] == b"API.WRITE"
-            assert words[1] == b"%016x" % 7
-            assert b"k=0123456789abcdef" in words[3].split(b",")
+            [arguments] = peer.commands
+            assert arguments[0] == b"API.WRITE"
+            assert arguments[1] == b"%016x" % 7
+            assert b"k=0123456789abcdef" in arguments[3].split(b",")
 
     peer = Peer(script)
     run(scenario())
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -94,8 +94,8 @@
                         "counter": "{}:{}".format(*counter.address),
                     }
 
-                base = SETTINGS | {"family-info": {"counter": True, "count-wait-s": 5.0}}
-                ingress = Ingress(config(settings=base, **peer_addresses(agents[0], old)))
+                settings = SETTINGS | {"family-info": {"counter": True, "count-wait-s": 5.0}}
+                ingress = Ingress(config(settings=settings, **peer_addresses(agents[0], old)))
                 stop = asyncio.Event()
                 task = asyncio.create_task(ingress.run(stop))
                 assert ingress.counter is not None
@@ -104,7 +104,7 @@
                 await until(lambda: old.commands)
                 task_count_before = len(asyncio.all_tasks())
                 for agent, counter in ((agents[1], new), (agents[2], new), (agents[2], new)):
-                    ingress.reload(config(settings=base, **peer_addresses(agent, counter)))
+                    ingress.reload(config(settings=settings, **peer_addresses(agent, counter)))
                 await until(lambda: len(agents[2].asked) == 2 and old.ended and agents[0].peer.ended)
                 await until(lambda: agents[1].peer.ended == agents[1].peer.connections)
                 assert agents[2].peer.connections == 1
--- a/tests/process/test_restart.py
+++ b/tests/process/test_restart.py
@@ -51,10 +51,10 @@
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
-            words = await read_command(reader)
-            if words[2] == b"slow":
+            arguments = await read_command(reader)
+            if arguments[2] == b"slow":
                 await release_slow_reply.wait()
-            writer.write(value(words[2]))
+            writer.write(value(arguments[2]))
 
     async def body() -> None:
         async with Peer(script) as peer, running_program(peer, tmp_path) as (process, address):
