--- a/ingress/upstream/__init__.py
+++ b/ingress/upstream/__init__.py
@@ -1,1 +1,1 @@
-"""The connections to backends, and the attempts sent on them."""
+"""Connections to backends, and the attempts that are sent on them."""
--- a/ingress/upstream/attempt.py
+++ b/ingress/upstream/attempt.py
@@ -1,4 +1,4 @@
-"""One attempt at one backend, from the module's `SendAttempt` to its outcome."""
+"""One attempt of a request at one backend, from the decision module's `SendAttempt` to its outcome."""
 
 from __future__ import annotations
 
@@ -7,15 +7,17 @@
 from math import inf
 from typing import Protocol
 
-CommandParts = tuple[bytes, bytes, bytes]  # before the parameters' length, the parameters, all after them
+# The client's command in RESP2: the bytes before the length of the field list, the field list, and the bytes
+# after it.
+CommandParts = tuple[bytes, bytes, bytes]
 
 
 class AttemptConnection(Protocol):
-    """What an attempt needs of the connection that it was written to."""
+    """The part of a connection that an attempt uses after it was written to it."""
 
     @property
     def has_unsent_bytes(self) -> bool:
-        """Whether part of the command has not been handed to the system yet."""
+        """Whether part of the command has not been handed to the operating system yet."""
 
     def close(self) -> None:
         """Close the connection at once."""
@@ -23,28 +25,28 @@
 
 @dataclass(slots=True, eq=False)
 class Attempt:
-    """One attempt at one backend.  Times are in seconds of the pool's clock."""
-
-    request: str  # key of the request it belongs to
-    number: int  # of this attempt among those of its request, from 0
-    backend: str  # id of the backend
-    sent: float  # when the module sent it
-    deadline: float  # when it times out
-    parts: CommandParts
-    write_deadline: float = inf  # after this it must not be written any more
-    connection: AttemptConnection | None = None  # that it was written to
-    timer: asyncio.TimerHandle | None = field(default=None, repr=False)  # fires at the deadline
-    ended: bool = False  # its outcome was reported
+    """One attempt of a request at one backend.  Its times are in seconds on the pool's clock."""
+
+    request: str  # key of the request that the attempt belongs to
+    number: int  # index of the attempt among the attempts of its request, from 0
+    backend: str  # id of the backend that the attempt goes to
+    sent: float  # time at which the decision module sent the attempt
+    deadline: float  # time at which the attempt times out
+    command_parts: CommandParts
+    write_deadline: float = inf  # time after which the command must not be written
+    connection: AttemptConnection | None = None  # connection that the command was written to
+    deadline_timer: asyncio.TimerHandle | None = field(default=None, repr=False)  # fires at `deadline`
+    has_ended: bool = False  # whether the outcome was reported
 
     def is_fully_written(self) -> bool:
-        """Return whether the whole command was handed to the system, so that it may have run."""
+        """Return whether the whole command was handed to the operating system, so that it may be executed."""
         return self.connection is not None and not self.connection.has_unsent_bytes
 
     def encode_command(self, now: float) -> bytes:
-        """Return the client's command with the time left until the deadline in place of its own, in ms."""
-        before, parameters, after = self.parts
+        """Return the client's command with its field `d` set to the milliseconds left until the deadline."""
+        before, fields, after = self.command_parts
         time_left = b"d=%d" % max(1, int((self.deadline - now) * 1000))
         rewritten = b",".join(
-            time_left if parameter.startswith(b"d=") else parameter for parameter in parameters.split(b",")
+            time_left if wire_field.startswith(b"d=") else wire_field for wire_field in fields.split(b",")
         )
         return b"%b$%d\r\n%b%b" % (before, len(rewritten), rewritten, after)
--- a/ingress/upstream/connecting.py
+++ b/ingress/upstream/connecting.py
@@ -1,4 +1,4 @@
-"""Opening a connection to a backend."""
+"""Open connections to backends."""
 
 from __future__ import annotations
 
@@ -10,8 +10,8 @@
 from ingress.network.addresses import Address
 from ingress.upstream.connection import BackendConnection
 
-# This machine, not the backend, is the cause of these.
-LOCAL_ERRORS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
+# Errors when this machine lacks descriptors, memory or local ports; they say nothing about the backend.
+LOCAL_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 
 
 async def open_connection(
@@ -20,9 +20,10 @@
     timeout_s: float,
     make_connection: Callable[[socket.socket], BackendConnection],
 ) -> BackendConnection:
-    """Connect and return the connection made for the socket.  Raises OSError, which includes TimeoutError.
+    """Connect to the address and return what `make_connection` makes for the socket.
 
-    The socket is closed on any failure, also if the task is cancelled.
+    Raise OSError (which includes TimeoutError) if no connection is established in `timeout_s`.  The socket is
+    closed on any failure, also if the task is cancelled.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
@@ -38,5 +39,5 @@
 
 
 def is_local_error(error: OSError) -> bool:
-    """Return whether the error says that this machine is short of something, and nothing of the backend."""
-    return error.errno in LOCAL_ERRORS
+    """Return whether the error comes from a shortage of resources on this machine."""
+    return error.errno in LOCAL_ERRNOS
--- a/ingress/upstream/connection.py
+++ b/ingress/upstream/connection.py
@@ -1,4 +1,4 @@
-"""One connection to a backend: writes the command of an attempt and reads the reply to it."""
+"""One connection to a backend: it writes the command of an attempt and reads the reply."""
 
 from __future__ import annotations
 
@@ -13,11 +13,11 @@
 from ingress.network.buffer_budget import BufferBudget
 from ingress.network.frames import FrameError
 from ingress.upstream.attempt import Attempt
-from ingress.upstream.replies import BackendReply, parse_reply, reply_end
+from ingress.upstream.replies import BackendReply, find_reply_end, parse_reply
 
 
 class ConnectionEndpoint(Protocol):
-    """What a connection knows of the backend that it leads to."""
+    """The part of a backend's endpoint that its connections use."""
 
     address: Address
     is_listed: bool
@@ -25,33 +25,37 @@
 
 
 class ConnectionOwner(Protocol):
-    """Who made a connection, and is called back by it."""
+    """The pool that made a connection, as the connection calls it back."""
 
     reply_buffer: BufferBudget
 
     def on_reply(self, attempt: Attempt, reply: BackendReply) -> None:
-        """A valid reply to the attempt arrived."""
+        """Handle a valid reply to the attempt."""
 
     def on_malformed_reply(self, attempt: Attempt, error: FrameError) -> None:
-        """Bytes that are no valid reply arrived; the connection has closed itself."""
+        """Handle bytes that are no valid reply; the connection has closed itself."""
 
     def on_connection_broken(self, connection: BackendConnection, attempt: Attempt) -> None:
-        """The connection ended before the reply to the attempt was whole."""
+        """Handle the end of the connection before the whole reply to the attempt arrived."""
 
     def on_idle_connection_broken(self, idle_s: float) -> None:
-        """The connection ended without any reply to the first attempt after it had been idle so long."""
+        """Handle the end of a connection that had been idle for `idle_s` and then got an attempt.
+
+        No byte of the reply to this attempt arrived.
+        """
 
     def on_connection_closed(self, connection: BackendConnection) -> None:
-        """The connection has closed itself, for whatever reason."""
+        """Handle that the connection has closed itself, whatever the reason."""
 
-    def release(self, connection: BackendConnection) -> None:
-        """The connection is free for another attempt."""
+    def release_connection(self, connection: BackendConnection) -> None:
+        """Take back a connection that can carry another attempt."""
 
 
 class BackendConnection(asyncio.Protocol):
     """One connection to a backend.
 
-    It carries one attempt at a time, since replies have no ids: to abandon an attempt is to close it.
+    A connection carries one attempt at a time, since replies have no ids.  An attempt that was written can
+    therefore only be abandoned by closing the connection.
     """
 
     def __init__(
@@ -59,66 +63,68 @@
     ) -> None:
         self.owner = owner
         self.endpoint = endpoint
-        self.address = address  # that it was opened to; the endpoint's may change
+        self.address = address  # address that was connected to; the endpoint's address may change later
         self.sock = sock
         self.parser = hiredis.Reader()
         self.transport: asyncio.Transport | None = None
-        self.attempt: Attempt | None = None  # that is waiting for its reply
-        self.buffer = b""  # the start of a reply that is not whole yet
-        self.idle_since = 0.0  # when it last became idle; 0 if it never was
-        self.idle_before_attempt_s = 0.0  # how long it was idle before the current attempt
+        self.attempt: Attempt | None = None  # attempt that waits for its reply
+        self.buffer = b""  # bytes of a reply that is not complete yet
+        self.idle_since = 0.0  # time at which the connection last became idle; 0 if it never was
+        self.idle_before_attempt_s = 0.0  # idle time before the current attempt
         self.is_open = True
-        self.has_unsent_bytes = False  # part of the command is still here: the backend can't have begun it
+        # Whether the operating system lacks part of the command, so that the backend can't have executed it.
+        self.has_unsent_bytes = False
 
-    # Callbacks of the event loop
+    # Callbacks from the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Have the transport report at once when it can't hand all bytes to the system."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop has a class of its own
+        """Make the transport report as soon as it can't hand all bytes to the operating system."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is a class of its own
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        """Part of the command is left in the transport's buffer."""
+        """Record that part of the command is left in the transport's buffer."""
         self.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """The whole command was handed to the system."""
+        """Record that the whole command was handed to the operating system."""
         self.has_unsent_bytes = False
 
     def data_received(self, data: bytes) -> None:
-        """Take in bytes of the reply; when it is whole, report it and become idle."""
+        """Add bytes to the reply; once the reply is complete, report it and become idle."""
         attempt = self.attempt
         if attempt is None:
-            # No request is out.  What came could be taken for the reply to the next one.
+            # No attempt waits for a reply, so these bytes could be taken for the reply to the next attempt.
             self.close()
             return
         self.buffer = received = self.buffer + data if self.buffer else data
         self.owner.reply_buffer.used_bytes += len(data)
         try:
-            end = reply_end(received)
+            end = find_reply_end(received)
             if end < 0:
                 self._check_buffer_budget()
                 return
             reply = parse_reply(received[:end], self.parser)
         except FrameError as error:
-            # The request has run, or may have, and nothing more on this connection can be trusted.
+            # The backend may have executed the request, and nothing that follows on this connection can be
+            # interpreted.
             self.close()
             self.owner.on_malformed_reply(attempt, error)
             return
         self.attempt = None
         self._clear_buffer()
         if end < len(received):
-            self.close()  # bytes after the reply could be taken for the next one
+            self.close()  # bytes after the reply could be taken for the next reply
         else:
-            self.owner.release(self)
+            self.owner.release_connection(self)
         self.owner.on_reply(attempt, reply)
 
     def eof_received(self) -> None:
-        """The backend has closed its side."""
+        """Treat a backend that has closed its side like a lost connection."""
         self.connection_lost(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
-        """Close, and report the attempt that was waiting for its reply."""
+        """Close the connection, and report the attempt that was waiting for its reply."""
         attempt = self.attempt
         self.attempt = None
         if attempt is not None and not self.buffer:
@@ -127,10 +133,10 @@
         if attempt is not None:
             self.owner.on_connection_broken(self, attempt)
 
-    # For the pool
+    # Called by the pool
 
     def send(self, attempt: Attempt, now: float) -> None:
-        """Write the attempt's command.  The connection must be open and without another attempt."""
+        """Write the attempt's command.  The connection must be open and carry no other attempt."""
         assert self.transport is not None
         attempt.connection = self
         self.attempt = attempt
@@ -138,21 +144,25 @@
         self.transport.write(attempt.encode_command(now))
 
     def is_current(self) -> bool:
-        """Return whether it leads to where its backend is now; at an old address there may be another."""
+        """Return whether the connection leads to the current address of its backend.
+
+        Another backend may be listening at an address that this backend had before.
+        """
         return self.endpoint.is_listed and self.address == self.endpoint.address
 
     def close(self) -> None:
-        """Close at once.
+        """Close the connection at once.
 
-        The event loop ends a connection only on its next turn, when the next attempt of the request may
-        already be written.  The shutdown goes out now, so that never two attempts are out together.
+        An aborted transport ends the connection only in the next iteration of the event loop, when the next
+        attempt of the request may already be written.  The socket is therefore shut down here, so that two
+        attempts of a request are never in flight together.
         """
         if not self.is_open:
             return
         self.is_open = False
         self.attempt = None
         self._clear_buffer()
-        with contextlib.suppress(OSError):  # the peer may have been first
+        with contextlib.suppress(OSError):  # the backend may have closed the connection already
             self.sock.shutdown(socket.SHUT_RDWR)
         if self.transport is not None:
             self.transport.abort()
@@ -160,8 +170,8 @@
 
     def _check_buffer_budget(self) -> None:
         if self.owner.reply_buffer.is_exceeded():
-            # Large values that arrive on many connections at once must not exhaust the memory.
-            raise FrameError("incomplete replies exceed the memory for them")
+            # Large values that arrive on many connections at once must not exhaust this process's memory.
+            raise FrameError("incomplete replies exceed their buffer limit")
 
     def _clear_buffer(self) -> None:
         self.owner.reply_buffer.used_bytes -= len(self.buffer)
--- a/ingress/upstream/endpoint.py
+++ b/ingress/upstream/endpoint.py
@@ -1,4 +1,4 @@
-"""Endpoints: where each backend is, whether it drains, and its idle connections."""
+"""Endpoints of backends: the address, whether the backend is draining, and the idle connections."""
 
 from __future__ import annotations
 
@@ -12,89 +12,97 @@
 
 @dataclass(slots=True, eq=False)
 class UpstreamEndpoint:
-    """One backend that an attempt was sent to."""
+    """The endpoint of a backend that at least one attempt was sent to."""
 
     address: Address
-    idle: list[BackendConnection] = field(default_factory=list)  # the one used last stands last
-    is_draining: bool = False  # it drains or was removed: nothing new is written to it
-    is_listed: bool = True  # False once it was removed; a backend of the same id is a new endpoint
+    idle: list[BackendConnection] = field(default_factory=list)  # the most recently used one is the last
+    is_draining: bool = False  # True also once the backend was removed; no attempt is written to it then
+    is_listed: bool = True  # False once it was removed; if its id is listed again, that makes a new endpoint
 
-    def close_idle(self) -> None:
+    def close_idle_connections(self) -> None:
         """Close the connections that are idle."""
         for connection in list(self.idle):
             connection.close()
 
 
 class EndpointTable:
-    """The listed backends, and an endpoint for each that an attempt was sent to.
+    """The listed backends, and an endpoint for each of those that an attempt was sent to.
 
-    Long lists are held compactly: a backend that was never sent to is only an entry of the address book.
+    A long list takes little memory, since a backend without attempts is only an entry of the address book.
     """
 
     def __init__(self) -> None:
-        self.addresses = AddressBook()  # of all listed backends
-        self.draining: set[str] = set()  # ids of those that drain
-        self.contacted: dict[str, UpstreamEndpoint] = {}  # those that an attempt was sent to, by id
+        self.addresses = AddressBook()  # addresses of all listed backends
+        self.draining_ids: set[str] = set()  # ids of the draining backends
+        self.contacted: dict[str, UpstreamEndpoint] = {}  # by backend id, those that an attempt was sent to
 
-    def get(self, backend: str) -> UpstreamEndpoint | None:
-        """Return the endpoint for an attempt, made on the first one; None if unlisted or draining."""
-        if backend in self.draining or backend not in self.addresses:
+    def find_or_create(self, backend_id: str) -> UpstreamEndpoint | None:
+        """Return the backend's endpoint, and create it if there is none yet.
+
+        Return None if the backend is not listed or is draining.
+        """
+        if backend_id in self.draining_ids or backend_id not in self.addresses:
             return None
-        endpoint = self.contacted.get(backend)
+        endpoint = self.contacted.get(backend_id)
         if endpoint is None:
-            endpoint = UpstreamEndpoint(self.addresses[backend])
-            self.contacted[backend] = endpoint
+            endpoint = UpstreamEndpoint(self.addresses[backend_id])
+            self.contacted[backend_id] = endpoint
         return endpoint
 
-    def replace(self, backends: tuple[Backend, ...], addresses: Mapping[str, Address]) -> None:
-        """Take a whole list; what it leaves out is removed."""
-        for name in [name for name in self.contacted if name not in addresses]:
-            self._remove(name)
+    def replace_list(self, backends: tuple[Backend, ...], addresses: Mapping[str, Address]) -> None:
+        """Apply a full list: backends that are not in it are removed."""
+        for backend_id in [backend_id for backend_id in self.contacted if backend_id not in addresses]:
+            self._remove_backend(backend_id)
         self.addresses = AddressBook.copy_of(addresses)
-        self.draining.clear()
-        ready = Readiness.READY  # looked up once: the list may be long
+        self.draining_ids.clear()
+        ready = Readiness.READY  # a local variable, since the loop over a long list reads it for each entry
         changed = [backend for backend in backends if backend.readiness is not ready]
         if len(addresses) < len(backends):
-            changed = list(backends)  # an id stands there twice: its last entry holds
-        self.update(changed, addresses)
-        for name in list(self.contacted):
-            self._refresh(name)
-
-    def update(self, backends: list[Backend] | tuple[Backend, ...], addresses: Mapping[str, Address]) -> None:
-        """Take the entries that changed; the cost grows with these only."""
+            changed = list(backends)  # some id has several entries, of which the last one applies
+        self.update_entries(changed, addresses)
+        for backend_id in list(self.contacted):
+            self._refresh_endpoint(backend_id)
+
+    def update_entries(
+        self, backends: list[Backend] | tuple[Backend, ...], addresses: Mapping[str, Address]
+    ) -> None:
+        """Apply changed entries; the cost grows with their number and not with the length of the list."""
         for backend in backends:
             self._update_entry(backend, addresses[backend.id])
 
     def _update_entry(self, backend: Backend, address: Address) -> None:
         if backend.readiness is Readiness.REMOVED:
-            self._remove(backend.id)
+            self._remove_backend(backend.id)
             return
         self.addresses[backend.id] = address
         if backend.readiness is Readiness.READY:
-            self.draining.discard(backend.id)
+            self.draining_ids.discard(backend.id)
         else:
-            self.draining.add(backend.id)
-        self._refresh(backend.id)
+            self.draining_ids.add(backend.id)
+        self._refresh_endpoint(backend.id)
 
-    def _refresh(self, name: str) -> None:
-        """Bring the backend's endpoint, if it has one, up to date with the list."""
-        endpoint = self.contacted.get(name)
+    def _refresh_endpoint(self, backend_id: str) -> None:
+        """Bring the endpoint of the backend, if there is one, up to date with the list."""
+        endpoint = self.contacted.get(backend_id)
         if endpoint is None:
             return
-        address = self.addresses[name]
+        address = self.addresses[backend_id]
         if endpoint.address != address:
             endpoint.address = address
-            endpoint.close_idle()
-        # The list may arrive late: an attempt that is waiting for a connection could reach a draining
-        # backend after its grace period, so it is not written either.
-        endpoint.is_draining = name in self.draining
-
-    def _remove(self, name: str) -> None:
-        """Forget the backend.  Attempts that wait for a connection hold its endpoint, and end with it."""
-        self.addresses.discard(name)
-        self.draining.discard(name)
-        endpoint = self.contacted.pop(name, None)
+            endpoint.close_idle_connections()
+        # An attempt that waits for a connection is not written to a draining backend either: as the list may
+        # arrive late, the attempt could reach the backend after the end of its grace period.
+        endpoint.is_draining = backend_id in self.draining_ids
+
+    def _remove_backend(self, backend_id: str) -> None:
+        """Remove the backend and close its endpoint.
+
+        Attempts that wait for a connection still refer to the endpoint; they fail because it is draining.
+        """
+        self.addresses.discard(backend_id)
+        self.draining_ids.discard(backend_id)
+        endpoint = self.contacted.pop(backend_id, None)
         if endpoint is not None:
             endpoint.is_listed = False
             endpoint.is_draining = True
-            endpoint.close_idle()
+            endpoint.close_idle_connections()
--- a/ingress/upstream/idle.py
+++ b/ingress/upstream/idle.py
@@ -1,4 +1,4 @@
-"""Idle connections: which may be used again, and how long they are kept."""
+"""Idle connections to backends: when they may be reused, and when they are closed."""
 
 from __future__ import annotations
 
@@ -6,64 +6,68 @@
 from ingress.upstream.connection import BackendConnection
 from ingress.upstream.endpoint import EndpointTable, UpstreamEndpoint
 
-IDLE_TIMEOUT_SHARE = 0.6  # of the time after which a backend closes an idle connection: ours closes before
-MIN_IDLE_TIMEOUT_S = 0.1  # kept at least so long whatever broke: most are used again sooner
-REUSE_DELAY_S = 0.010  # after a reply before its connection is used again: duplicates came up to 4 ms late
+# Share of a backend's idle timeout after which a connection is closed here, before the backend closes it.
+IDLE_TIMEOUT_SHARE = 0.6
+MIN_IDLE_TIMEOUT_S = 0.1  # lower bound after connections broke; most connections are reused sooner than this
+REUSE_DELAY_S = 0.010  # after a reply, before the next attempt: duplicate replies arrived up to 4 ms late
 
 
 class IdleConnections:
     """The idle connections of all endpoints of a pool."""
 
     def __init__(self, endpoints: EndpointTable, backend_idle_timeout_s: float) -> None:
-        """Keep connections for a share of the time after which backends close them."""
+        """Keep idle connections for a share of `backend_idle_timeout_s`, after which backends close them."""
         self.endpoints = endpoints
-        self.timeout_s = backend_idle_timeout_s * IDLE_TIMEOUT_SHARE
+        self.idle_timeout_s = backend_idle_timeout_s * IDLE_TIMEOUT_SHARE
         self.reuse_delay_s = REUSE_DELAY_S
 
-    def take(self, endpoint: UpstreamEndpoint, now: float) -> BackendConnection | None:
-        """Return the connection used last, no longer idle; None if none may be used yet.
+    def take_connection(self, endpoint: UpstreamEndpoint, now: float) -> BackendConnection | None:
+        """Remove the most recently used connection that may be reused, and return it; None if there is none.
 
-        A backend may send something behind its reply, such as a duplicate, that comes in a later read and
-        would be taken for the next reply.  So a connection is used again only after the reuse delay, and
-        one with unread bytes is closed.
+        Bytes that a backend sends after its reply, such as a duplicate of it, may arrive in a later read and
+        would be taken for the next reply.  A connection is therefore reused only after the reuse delay, and
+        closed if it has unread bytes.
         """
         for connection in reversed(endpoint.idle[:]):
             if connection.idle_since > now - self.reuse_delay_s:
                 continue
-            if connection.idle_since >= now - self.timeout_s and is_open_without_input(connection.sock):
+            if connection.idle_since >= now - self.idle_timeout_s and is_open_without_input(connection.sock):
                 endpoint.idle.remove(connection)
                 return connection
             connection.close()
         return None
 
-    def record_broken(self, idle_s: float) -> None:
-        """Shorten the time-out: a connection broke under an attempt that it got after it was idle so long.
+    def record_broken_connection(self, idle_s: float) -> None:
+        """Shorten the idle timeout, as a connection broke that had been idle for `idle_s` before its attempt.
 
-        Some backends drop idle connections sooner than they should, and it shows only on the next write.
+        Some backends drop idle connections before their timeout, which shows only when the next command is
+        written.
         """
         if idle_s >= MIN_IDLE_TIMEOUT_S:
-            self.timeout_s = min(self.timeout_s, max(MIN_IDLE_TIMEOUT_S, idle_s * IDLE_TIMEOUT_SHARE))
+            self.idle_timeout_s = min(
+                self.idle_timeout_s, max(MIN_IDLE_TIMEOUT_S, idle_s * IDLE_TIMEOUT_SHARE)
+            )
 
-    def close_oldest(self) -> bool:
-        """Close the connection that has been idle longest; return whether there was one."""
-        oldest = min(
+    def close_longest_idle(self) -> bool:
+        """Close the connection that has been idle for the longest time; return whether there was one."""
+        longest_idle = min(
             (endpoint.idle[0] for endpoint in self.endpoints.contacted.values() if endpoint.idle),
             key=lambda connection: connection.idle_since,
             default=None,
         )
-        if oldest is None:
+        if longest_idle is None:
             return False
-        oldest.close()
+        longest_idle.close()
         return True
 
     def close_expired(self, now: float) -> None:
-        """Close the connections that their backends are about to close."""
-        limit = now - self.timeout_s
+        """Close the connections whose idle timeout is over, before their backends do."""
+        min_idle_since = now - self.idle_timeout_s
         for endpoint in self.endpoints.contacted.values():
-            while endpoint.idle and endpoint.idle[0].idle_since < limit:
+            while endpoint.idle and endpoint.idle[0].idle_since < min_idle_since:
                 endpoint.idle[0].close()
 
     def close_all(self) -> None:
         """Close all idle connections."""
         for endpoint in self.endpoints.contacted.values():
-            endpoint.close_idle()
+            endpoint.close_idle_connections()
--- a/ingress/upstream/pool.py
+++ b/ingress/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to backends, and the attempts that are sent on them."""
+"""The pool of connections to backends, which sends the attempts."""
 
 from __future__ import annotations
 
@@ -21,19 +21,20 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LOGGED_FAULTS = 50  # faults that are logged one by one; of later ones, every hundredth
-SWEEP_INTERVAL_S = 1.0  # between checks for connections that have been idle too long
-# What a command may take to its backend, some zones further than the attempt before.
+MAX_LOGGED_FAULTS = 50  # faults that are logged one by one; after these only every hundredth is logged
+SWEEP_INTERVAL_S = 1.0  # time between two checks for connections whose idle timeout is over
+# Time for a command to reach its backend, which may be in a more distant zone than the first backend was.
 TRANSIT_MARGIN_S = 0.01
 
-# Takes the attempt, its outcome, the value if there is one, and the load report of the backend.
+# The arguments are the attempt, its outcome, the value (None unless the outcome is OK), and the load report
+# (empty if there is none).
 AttemptEndCallback = Callable[[Attempt, Outcome, bytes | None, dict[str, float]], None]
 
 
 class ConnectionPool:
     """The connections to all backends.
 
-    Each attempt that is started ends exactly once, with a call of `on_attempt_end`.
+    For each attempt that is started, `on_attempt_end` is called exactly once.
     """
 
     def __init__(
@@ -45,10 +46,10 @@
         clock: Clock,
         on_attempt_end: AttemptEndCallback,
     ) -> None:
-        """Start without backends; must be called in a running event loop.
+        """Make a pool without backends; an event loop must be running.
 
-        The limits hold for all backends together.  Backends close a connection that has been idle for
-        `backend_idle_timeout_s`.
+        The limits hold for all backends together.  `backend_idle_timeout_s` is the time after which a backend
+        closes an idle connection.
         """
         self.max_connections = max_connections
         self.connect_timeout_s = connect_timeout_s
@@ -58,13 +59,13 @@
         self.endpoints = EndpointTable()
         self.idle = IdleConnections(self.endpoints, backend_idle_timeout_s)
         self.reply_buffer = BufferBudget(max_buffered_bytes)
-        self.connection_count = 0  # open or coming up
+        self.connection_count = 0  # connections that are open or being opened
         self.fault_log = RateLimitedLog(log, MAX_LOGGED_FAULTS)
         self.connect_tasks: set[asyncio.Task[None]] = set()
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
 
     def close(self) -> None:
-        """Close the idle connections; the others end with the process."""
+        """Close the idle connections; those in use are closed when the process ends."""
         self.sweep_timer.cancel()
         self.idle.close_all()
 
@@ -73,90 +74,95 @@
     def update_endpoints(
         self, is_full_list: bool, backends: tuple[Backend, ...], addresses: Mapping[str, Address]
     ) -> None:
-        """Take a whole list, or only the entries that changed."""
+        """Apply a full list of backends, or only the entries that changed."""
         if is_full_list:
-            self.endpoints.replace(backends, addresses)
+            self.endpoints.replace_list(backends, addresses)
         else:
-            self.endpoints.update(backends, addresses)
+            self.endpoints.update_entries(backends, addresses)
 
-    def close_idle(self, backend: str) -> None:
+    def close_idle(self, backend_id: str) -> None:
         """Close the idle connections to the backend."""
-        endpoint = self.endpoints.contacted.get(backend)
+        endpoint = self.endpoints.contacted.get(backend_id)
         if endpoint is not None:
-            endpoint.close_idle()
+            endpoint.close_idle_connections()
 
     # Attempts
 
     def start(self, attempt: Attempt) -> None:
-        """Send the attempt, as soon as there is a connection for it."""
-        endpoint = self.endpoints.get(attempt.backend)
+        """Send the attempt as soon as a connection can take it."""
+        endpoint = self.endpoints.find_or_create(attempt.backend)
         time_left = attempt.deadline - attempt.sent
         if endpoint is None or time_left <= 0:
-            self._finish(attempt, Outcome.CONNECT_FAILED)
+            self._finish_attempt(attempt, Outcome.CONNECT_FAILED)
             return
-        attempt.timer = self.loop.call_later(time_left, self._on_deadline, attempt)
-        self._assign_connection(endpoint, attempt, may_wait=True)
+        attempt.deadline_timer = self.loop.call_later(time_left, self._on_deadline, attempt)
+        self._assign_connection(endpoint, attempt, may_wait_for_reuse=True)
 
     def cancel(self, attempt: Attempt) -> None:
-        """End the attempt; a connection that it was written to is closed."""
-        self._abandon(attempt, Outcome.CANCELLED)
+        """End the attempt, and close the connection that it was written to, if any."""
+        self._abandon_attempt(attempt, Outcome.CANCELLED)
 
     def cancel_if_unsent(self, attempt: Attempt) -> None:
-        """End the attempt unless it was written whole, since its client has left or was answered.
+        """End the attempt unless it was fully written; its client has left or has its answer.
 
-        What was written goes on: to close its connection would not stop the backend's work.
+        An attempt that was fully written continues: closing its connection would not stop the backend's work.
         """
         if not attempt.is_fully_written():
-            self._abandon(attempt, Outcome.SUPERSEDED)
+            self._abandon_attempt(attempt, Outcome.SUPERSEDED)
 
-    def _assign_connection(self, endpoint: UpstreamEndpoint, attempt: Attempt, may_wait: bool) -> None:
-        """Write the attempt to an idle connection, or open one.
+    def _assign_connection(
+        self, endpoint: UpstreamEndpoint, attempt: Attempt, may_wait_for_reuse: bool
+    ) -> None:
+        """Write the attempt to an idle connection, or open a connection for it.
 
-        With `may_wait` the idle connections get the reuse delay to become usable first.
+        With `may_wait_for_reuse`, wait for the reuse delay first if no idle connection can be reused yet.
         """
-        if attempt.ended:
+        if attempt.has_ended:
             return
         if endpoint.is_draining:
-            self._finish(attempt, Outcome.CONNECT_FAILED)
+            self._finish_attempt(attempt, Outcome.CONNECT_FAILED)
             return
-        connection = self.idle.take(endpoint, self.clock())
+        connection = self.idle.take_connection(endpoint, self.clock())
         if connection is not None:
-            self._send(connection, attempt)
-        elif may_wait and endpoint.idle:
+            self._send_attempt(connection, attempt)
+        elif may_wait_for_reuse and endpoint.idle:
             self.loop.call_later(self.idle.reuse_delay_s, self._assign_connection, endpoint, attempt, False)
-        elif self.connection_count >= self.max_connections and not self.idle.close_oldest():
-            # SUPERSEDED, since the backend must not be taken for dead when this machine is out of sockets.
+        elif self.connection_count >= self.max_connections and not self.idle.close_longest_idle():
+            # SUPERSEDED, since a lack of sockets on this machine must not count as a failure of the backend.
             self.fault_log.warning("upstream connections exhausted backend=%s", attempt.backend)
-            self._finish(attempt, Outcome.SUPERSEDED)
+            self._finish_attempt(attempt, Outcome.SUPERSEDED)
         else:
             self._start_connecting(endpoint, attempt)
 
-    def _send(self, connection: BackendConnection, attempt: Attempt) -> None:
+    def _send_attempt(self, connection: BackendConnection, attempt: Attempt) -> None:
         now = self.clock()
         if now + TRANSIT_MARGIN_S < attempt.write_deadline:
             connection.send(attempt, now)
         else:
-            # A repeat would reach the backend after it has forgotten the idempotency key, and take effect
-            # twice.  That is no fault of this backend.
-            self.release(connection)
-            self._finish(attempt, Outcome.SUPERSEDED)
+            # The retry would reach the backend after the end of its deduplication window and take effect a
+            # second time.  SUPERSEDED, since this is no failure of the backend.
+            self.release_connection(connection)
+            self._finish_attempt(attempt, Outcome.SUPERSEDED)
 
     def _on_deadline(self, attempt: Attempt) -> None:
-        # What was never written whole never ran: no connection came up, or took it, in time.
-        self._abandon(attempt, Outcome.TIMEOUT if attempt.is_fully_written() else Outcome.CONNECT_FAILED)
+        # An attempt that was not fully written was not executed: no connection was established, or took the
+        # whole command, in time.
+        self._abandon_attempt(
+            attempt, Outcome.TIMEOUT if attempt.is_fully_written() else Outcome.CONNECT_FAILED
+        )
 
-    def _abandon(self, attempt: Attempt, outcome: Outcome) -> None:
+    def _abandon_attempt(self, attempt: Attempt, outcome: Outcome) -> None:
         if attempt.connection is not None:
             attempt.connection.close()
-        self._finish(attempt, outcome)
+        self._finish_attempt(attempt, outcome)
 
-    def _finish(self, attempt: Attempt, outcome: Outcome, reply: BackendReply | None = None) -> None:
-        if attempt.ended:
+    def _finish_attempt(self, attempt: Attempt, outcome: Outcome, reply: BackendReply | None = None) -> None:
+        if attempt.has_ended:
             return
-        attempt.ended = True
+        attempt.has_ended = True
         attempt.connection = None
-        if attempt.timer is not None:
-            attempt.timer.cancel()
+        if attempt.deadline_timer is not None:
+            attempt.deadline_timer.cancel()
         if reply is None:
             self.on_attempt_end(attempt, outcome, None, {})
         else:
@@ -190,51 +196,53 @@
     def _on_connect_failed(self, attempt: Attempt, error: OSError) -> None:
         if is_local_error(error):
             self.fault_log.warning("upstream connect failed backend=%s reason=%s", attempt.backend, error)
-            self._finish(attempt, Outcome.SUPERSEDED)
+            self._finish_attempt(attempt, Outcome.SUPERSEDED)
         else:
-            self._finish(attempt, Outcome.CONNECT_FAILED)
+            self._finish_attempt(attempt, Outcome.CONNECT_FAILED)
 
     def _on_connected(
         self, connection: BackendConnection, endpoint: UpstreamEndpoint, attempt: Attempt
     ) -> None:
         if not connection.is_open:
-            self._finish(attempt, Outcome.CONNECT_FAILED)
-        elif attempt.ended:
-            self.release(connection)
+            self._finish_attempt(attempt, Outcome.CONNECT_FAILED)
+        elif attempt.has_ended:
+            self.release_connection(connection)
         elif endpoint.is_draining or not connection.is_current():
-            # The backend has left the list or changed its address while the connection came up.
+            # The backend was removed, began to drain or changed its address while the connection was opened.
             connection.close()
-            self._finish(attempt, Outcome.CONNECT_FAILED)
+            self._finish_attempt(attempt, Outcome.CONNECT_FAILED)
         else:
-            self._send(connection, attempt)
+            self._send_attempt(connection, attempt)
 
-    # Callbacks of the connections
+    # Callbacks from the connections
 
     def on_reply(self, attempt: Attempt, reply: BackendReply) -> None:
-        """End the attempt as its reply says."""
-        self._finish(attempt, reply.outcome, reply)
+        """End the attempt with the outcome of its reply."""
+        self._finish_attempt(attempt, reply.outcome, reply)
 
     def on_malformed_reply(self, attempt: Attempt, error: FrameError) -> None:
-        """End the attempt with an error: it may have run, and nobody is served what no backend made."""
+        """End the attempt as ERROR: it may have been executed, and its malformed value is not passed on."""
         self.fault_log.warning("upstream reply malformed backend=%s reason=%s", attempt.backend, error)
-        self._finish(attempt, Outcome.ERROR)
+        self._finish_attempt(attempt, Outcome.ERROR)
 
     def on_connection_broken(self, connection: BackendConnection, attempt: Attempt) -> None:
-        """End the attempt: once all of it was handed to the system, it may have run."""
-        self._finish(attempt, Outcome.CONNECT_FAILED if connection.has_unsent_bytes else Outcome.RESET)
+        """End the attempt as RESET if it was fully written and so may be executed, else as CONNECT_FAILED."""
+        self._finish_attempt(
+            attempt, Outcome.CONNECT_FAILED if connection.has_unsent_bytes else Outcome.RESET
+        )
 
     def on_idle_connection_broken(self, idle_s: float) -> None:
-        """Keep connections idle for a shorter time from now on."""
-        self.idle.record_broken(idle_s)
+        """Shorten the time for which idle connections are kept."""
+        self.idle.record_broken_connection(idle_s)
 
     def on_connection_closed(self, connection: BackendConnection) -> None:
-        """Forget the connection."""
+        """Remove the connection from the pool."""
         self.connection_count -= 1
         if connection in connection.endpoint.idle:
             connection.endpoint.idle.remove(connection)
 
-    def release(self, connection: BackendConnection) -> None:
-        """Make the connection idle, or close it if its backend has another address now."""
+    def release_connection(self, connection: BackendConnection) -> None:
+        """Make the connection idle, or close it if its backend was removed or has another address now."""
         if not connection.is_current():
             connection.close()
         elif connection.is_open:
--- a/ingress/upstream/replies.py
+++ b/ingress/upstream/replies.py
@@ -1,7 +1,7 @@
-"""Replies of backends: where a reply ends, what it means, and the load report it may hold.
+"""Replies of backends: find the end of a reply, interpret it, and read the load report that it may hold.
 
-A reply is either an array of a value, figures and a load report, or one error line:
-`-BUSY [load report]` or `-ERR failed [load report]`.
+A reply is either an array of three items (a value, figures that are not used here, and a load report) or one
+error line: `-BUSY [load report]` or `-ERR failed [load report]`.
 """
 
 from __future__ import annotations
@@ -15,16 +15,16 @@
 from ingress.network.frames import INCOMPLETE, FrameError, array_end
 from ingress.settings_codec import LOAD_REPORT_FIELDS
 
-MAX_VALUE_BYTES = 1024 * 1024  # some values are far larger than the 64 KiB that commands may hold
+MAX_VALUE_BYTES = 1024 * 1024  # some values are far larger than the 64 KiB limit of commands
 MAX_REPLY_BYTES = MAX_VALUE_BYTES + 8 * 1024  # a value, figures and a load report
 MAX_ERROR_LINE_BYTES = 1024
-MAX_LOGGED_BYTES = 80  # of a reply that can't be interpreted
-REPLY_ITEMS = 3
-KNOWN_LOADS = frozenset(LOAD_REPORT_FIELDS.values())
+MAX_LOGGED_BYTES = 80  # shown in the log of a reply that can't be interpreted
+REPLY_ITEM_COUNT = 3
+KNOWN_LOAD_NAMES = frozenset(LOAD_REPORT_FIELDS.values())
 
 
 class MalformedReplyError(FrameError):
-    """A whole frame that is no valid reply of a backend."""
+    """A complete frame is no valid reply of a backend."""
 
 
 @dataclass(slots=True)
@@ -33,13 +33,16 @@
 
     outcome: Outcome  # OK, REJECTED or ERROR
     value: bytes | None  # only with OK
-    load_report: dict[str, float]  # by the names of the interface; empty if the reply held none
+    load_report: dict[str, float]  # by the names of `LOAD_REPORT_FIELDS`; empty if the reply held none
 
 
-def reply_end(data: bytes) -> int:
-    """Return the index after the reply at the start of `data`, or INCOMPLETE.  Raises FrameError."""
+def find_reply_end(data: bytes) -> int:
+    """Return the index after the reply at the start of `data`, or INCOMPLETE if its end has not arrived.
+
+    Raise FrameError if the bytes can't become a reply, or if it is too long.
+    """
     if data[:1] != b"-":
-        return array_end(data, 0, REPLY_ITEMS, MAX_VALUE_BYTES, MAX_REPLY_BYTES, allow_null=True)
+        return array_end(data, 0, REPLY_ITEM_COUNT, MAX_VALUE_BYTES, MAX_REPLY_BYTES, allow_null=True)
     end = data.find(b"\r\n", 0, MAX_ERROR_LINE_BYTES)
     if end >= 0:
         return end + 2
@@ -49,7 +52,10 @@
 
 
 def parse_reply(frame: bytes, parser: hiredis.Reader) -> BackendReply:
-    """Interpret one whole reply; `parser` is that of its connection.  Raises MalformedReplyError."""
+    """Interpret one complete reply with the parser of its connection.
+
+    Raise MalformedReplyError if the frame is no valid reply.
+    """
     if frame[:1] == b"*":
         return _parse_value_reply(frame, parser)
     kind, _, rest = frame[1:-2].partition(b" ")
@@ -66,16 +72,16 @@
         items = parser.gets()
     except hiredis.HiredisError as error:
         raise MalformedReplyError(str(error)) from error
-    if len(items) != REPLY_ITEMS or items[0] is None:
+    if len(items) != REPLY_ITEM_COUNT or items[0] is None:
         raise MalformedReplyError("not a value, figures and a load report")
     return BackendReply(Outcome.OK, items[0], read_load_report(items[2]))
 
 
 def read_load_report(text: bytes | None) -> dict[str, float]:
-    """Return the known loads of a report `name=figure,...` by the names of the interface.
+    """Return the known figures of a load report `name=figure,...` by the names of `LOAD_REPORT_FIELDS`.
 
-    Unknown names and figures that are negative, infinite or not numbers are left out one by one, so that
-    the decision module only ever sees usable figures.
+    An unknown name, and a figure that is negative, infinite or not a number, is left out without the others,
+    so that the decision module gets usable figures only.
     """
     report: dict[str, float] = {}
     if not text:
@@ -87,6 +93,6 @@
             load = float(figure)
         except ValueError:
             continue
-        if name in KNOWN_LOADS and 0 <= load < inf:
+        if name in KNOWN_LOAD_NAMES and 0 <= load < inf:
             report[name] = load
     return report
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -1,4 +1,4 @@
-"""An attempt's command: the time left takes the place of the client's."""
+"""Tests of the command of an attempt, in which the remaining time replaces the client's deadline."""
 
 from __future__ import annotations
 
@@ -9,12 +9,12 @@
 
 
 @pytest.mark.parametrize(("now", "time_left_ms"), [(100.0, 1500), (100.9999, 500), (101.5, 1), (200.0, 1)])
-def test_the_command_holds_the_time_left_but_at_least_one_millisecond(now: float, time_left_ms: int) -> None:
+def test_command_holds_remaining_time_of_at_least_one_millisecond(now: float, time_left_ms: int) -> None:
     before, _, after = PARTS
     attempt = Attempt("r", 0, "s0", 100.0, 101.5, PARTS)
-    parameters = b"c=read,d=%d,t=basic,x=9" % time_left_ms
-    assert attempt.encode_command(now) == b"%b$%d\r\n%b%b" % (before, len(parameters), parameters, after)
+    fields = b"c=read,d=%d,t=basic,x=9" % time_left_ms
+    assert attempt.encode_command(now) == b"%b$%d\r\n%b%b" % (before, len(fields), fields, after)
 
 
-def test_an_attempt_without_a_connection_is_not_written() -> None:
+def test_attempt_without_connection_is_not_fully_written() -> None:
     assert not Attempt("r", 0, "s0", 100.0, 101.5, PARTS).is_fully_written()
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -1,4 +1,4 @@
-"""One connection: what replies mean, malformed replies, and commands written in part."""
+"""Tests of a connection: outcomes of replies, malformed replies, and partly written commands."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
 from tests.support.peers import Peer, Reader, Writer, backend, read_command, run, until, value
 from tests.support.pool import PARTS, PoolUnderTest
 
-BINARY = bytes(range(256)) * 256
-HUGE = b"\r\n$8000000\r\n" + b"x" * 8_000_000 + b"\r\n"
+BINARY_VALUE = bytes(range(256)) * 256
+LARGE_ARGUMENT = b"\r\n$8000000\r\n" + b"x" * 8_000_000 + b"\r\n"
 
 
 @pytest.mark.parametrize(
@@ -27,8 +27,8 @@
     [
         (value(b"hello"), Outcome.OK, b"hello"),
         (value(b""), Outcome.OK, b""),
-        (value(BINARY), Outcome.OK, BINARY),
-        (value(BINARY * 6), Outcome.OK, BINARY * 6),  # six times the 64 KiB that commands may hold
+        (value(BINARY_VALUE), Outcome.OK, BINARY_VALUE),
+        (value(BINARY_VALUE * 6), Outcome.OK, BINARY_VALUE * 6),  # six times the 64 KiB limit of commands
         (b"*3\r\n$2\r\nok\r\n$1\r\n4\r\n$10\r\ninflight=7\r\n", Outcome.OK, b"ok"),
         (b"-ERR failed\r\n", Outcome.ERROR, None),
         (b"-ERR failed inflight=7,queue=2\r\n", Outcome.ERROR, None),
@@ -41,7 +41,7 @@
         (b"hello\r\n", Outcome.ERROR, None),
     ],
 )
-def test_what_a_reply_means(answer: bytes, outcome: Outcome, found: bytes | None) -> None:
+def test_reply_determines_outcome_and_value(answer: bytes, outcome: Outcome, found: bytes | None) -> None:
     async def body() -> None:
         async with backend(answer) as peer:
             pool = PoolUnderTest(peer.address)
@@ -51,27 +51,27 @@
     run(body())
 
 
-def test_the_time_is_rewritten_and_all_else_goes_on_unchanged() -> None:
+def test_command_is_forwarded_unchanged_except_for_the_remaining_time() -> None:
     async def body() -> None:
         async with backend() as peer:
             pool = PoolUnderTest(peer.address)
-            data = b"$%d\r\n%b\r\n" % (len(BINARY), BINARY)
+            data = b"$%d\r\n%b\r\n" % (len(BINARY_VALUE), BINARY_VALUE)
             pool.send(timeout_s=1.0, parts=(PARTS[0].replace(b"*4", b"*5"), PARTS[1], b"\r\n" + data))
             assert await pool.result() == (Outcome.OK, b"r1")
             [words] = peer.commands
-            names = words[3].split(b",")
+            fields = words[3].split(b",")
             assert words[:3] == [b"API.READ", b"c7", b"r1"]
-            assert words[4] == BINARY
-            assert names[0] == b"c=read"
-            assert names[2:] == [b"t=basic", b"x=9"]
-            assert names[1].startswith(b"d=")
-            assert 1 <= int(names[1][2:]) <= 1000
+            assert words[4] == BINARY_VALUE
+            assert fields[0] == b"c=read"
+            assert fields[2:] == [b"t=basic", b"x=9"]
+            assert fields[1].startswith(b"d=")
+            assert 1 <= int(fields[1][2:]) <= 1000
 
     run(body())
 
 
 @pytest.mark.parametrize("partly", [b"", b"*3\r\n$5\r\nhel"])
-def test_a_connection_that_ends_under_an_attempt_is_a_reset(partly: bytes) -> None:
+def test_connection_closed_before_the_whole_reply_is_a_reset(partly: bytes) -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
         writer.write(partly)
@@ -87,23 +87,23 @@
 
 
 @pytest.mark.parametrize("cancel", [True, False])
-def test_abandoning_ends_the_connection_before_the_outcome_is_reported(cancel: bool) -> None:
-    """Two attempts of a request must not be out together, not even for one iteration of the event loop."""
+def test_abandoned_attempt_closes_its_connection_before_its_outcome_is_reported(cancel: bool) -> None:
+    """Two attempts of a request must not be in flight together, even for one iteration of the event loop."""
 
     async def body() -> None:
         loop = asyncio.get_running_loop()
         with socket.create_server(("127.0.0.1", 0)) as server:
             server.setblocking(False)
             pool = PoolUnderTest(server.getsockname())
-            seen: list[bytes] = []
+            received_after_close: list[bytes] = []
 
-            def ended(
+            def record_end(
                 attempt: Attempt, outcome: Outcome, answer: bytes | None, load: dict[str, float]
             ) -> None:
                 pool.record(attempt, outcome, answer, load)
-                seen.append(peer.recv(100))
+                received_after_close.append(peer.recv(100))
 
-            pool.pool.on_attempt_end = ended
+            pool.pool.on_attempt_end = record_end
             attempt = pool.send(timeout_s=5.0 if cancel else 0.2)
             peer, _ = await loop.sock_accept(server)
             peer.setblocking(False)
@@ -111,13 +111,13 @@
             if cancel:
                 pool.pool.cancel(attempt)
             assert (await pool.result())[0] is (Outcome.CANCELLED if cancel else Outcome.TIMEOUT)
-            assert seen == [b""]
+            assert received_after_close == [b""]
             peer.close()
 
     run(body())
 
 
-def test_an_unsolicited_reply_is_served_to_nobody() -> None:
+def test_unsolicited_second_reply_closes_the_connection() -> None:
     async def body() -> None:
         async with backend(value(b"one") + value(b"two")) as peer:
             pool = PoolUnderTest(peer.address)
@@ -129,39 +129,41 @@
 
 
 class HeldReuseDelay:
-    """The running loop, but calls after the reuse delay are held until they are released."""
+    """The running event loop, except that calls after the reuse delay wait for `run_held_calls`."""
 
     def __init__(self, reuse_delay_s: float) -> None:
         self.loop = asyncio.get_running_loop()
         self.reuse_delay_s = reuse_delay_s
-        self.held: list[Callable[[], object]] = []
+        self.held_calls: list[Callable[[], object]] = []
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
 
     def call_later(self, delay_s: float, callback: Callable[..., object], *args: Any) -> Any:
-        """Hold the call if it is due after the reuse delay; leave any other to the loop."""
+        """Hold the call if its delay is the reuse delay; pass any other call to the event loop."""
         if delay_s != self.reuse_delay_s:
             return self.loop.call_later(delay_s, callback, *args)
-        self.held.append(partial(callback, *args))
+        self.held_calls.append(partial(callback, *args))
         return None
 
-    def release(self) -> None:
-        """Make the held calls."""
-        for call in self.held:
+    def run_held_calls(self) -> None:
+        """Run the calls that were held."""
+        for call in self.held_calls:
             call()
 
 
-def test_bytes_in_a_later_read_are_not_taken_for_the_next_reply(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The next attempt is started at once, but the connection is not used before its reuse delay is over.
+def test_extra_bytes_in_a_later_read_are_not_taken_for_the_next_reply(
+    monkeypatch: pytest.MonkeyPatch,
+) -> None:
+    """A connection is not reused before its reuse delay is over, even if the next attempt starts at once.
 
-    The delay is over once the extra bytes were read, however long the backend takes to send them.
+    The test ends the delay only after the extra bytes were read, however late the backend sends them.
     """
     first_ended = asyncio.Event()
     noise_read = asyncio.Event()
     data_received = BackendConnection.data_received
 
-    def record_noise(connection: BackendConnection, data: bytes) -> None:
+    def receive_and_record_noise(connection: BackendConnection, data: bytes) -> None:
         data_received(connection, data)
         if b"noise" in data:
             noise_read.set()
@@ -178,27 +180,27 @@
         async with Peer(script) as peer:
             pool = PoolUnderTest(peer.address)
             reuse_delay_s = pool.pool.idle.reuse_delay_s
-            delay = HeldReuseDelay(reuse_delay_s)
+            held_delay = HeldReuseDelay(reuse_delay_s)
             now = pool.pool.clock()
             pool.pool.clock = lambda: now + pool.clock_offset_s
-            pool.pool.loop = delay  # type: ignore[assignment]
-            record = pool.pool.on_attempt_end
+            pool.pool.loop = held_delay  # type: ignore[assignment]
+            record_result = pool.pool.on_attempt_end
 
-            def ended(*args: Any) -> None:
-                record(*args)
+            def record_end(*args: Any) -> None:
+                record_result(*args)
                 if len(pool.results) == 1:
                     pool.send()
                     first_ended.set()
 
-            pool.pool.on_attempt_end = ended
+            pool.pool.on_attempt_end = record_end
             pool.send()
             assert await pool.result() == (Outcome.OK, b"0")
             await noise_read.wait()
             pool.clock_offset_s = 2 * reuse_delay_s
-            delay.release()
+            held_delay.run_held_calls()
             assert await pool.result(2) == (Outcome.OK, b"1")
 
-    monkeypatch.setattr(BackendConnection, "data_received", record_noise)
+    monkeypatch.setattr(BackendConnection, "data_received", receive_and_record_noise)
     run(body())
 
 
@@ -223,7 +225,7 @@
         b"*x\r\n",
     ],
 )
-def test_a_malformed_reply_may_have_run_and_its_connection_is_not_used_again(malformed: bytes) -> None:
+def test_malformed_reply_is_an_error_and_closes_the_connection(malformed: bytes) -> None:
     async def body() -> None:
         async with backend(malformed) as peer:
             pool = PoolUnderTest(peer.address)
@@ -249,7 +251,7 @@
     assert record.getMessage() == "upstream reply malformed backend=s0 reason=b'-SYNTAX\\r\\n' count=1"
 
 
-def test_incomplete_replies_are_bounded_over_all_connections() -> None:
+def test_incomplete_replies_are_limited_over_all_connections_together() -> None:
     async def body() -> None:
         async with backend(b"*3\r\n$900000\r\n" + b"x" * 800_000) as peer:
             pool = PoolUnderTest(peer.address)
@@ -267,8 +269,8 @@
 
 
 @pytest.mark.parametrize("how", ["reset", "time is up", "client left"])
-def test_what_was_written_in_part_never_ran(how: str) -> None:
-    """The connection takes only part of a large command; then it breaks, or nobody waits any more."""
+def test_partly_written_attempt_counts_as_not_executed(how: str) -> None:
+    """The connection takes only part of a large command before it breaks, times out or loses its client."""
 
     async def body() -> None:
         loop = asyncio.get_running_loop()
@@ -276,7 +278,9 @@
             server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             server.setblocking(False)
             pool = PoolUnderTest(server.getsockname())
-            attempt = pool.send(timeout_s=0.5 if how == "time is up" else 5.0, parts=(*PARTS[:2], HUGE))
+            attempt = pool.send(
+                timeout_s=0.5 if how == "time is up" else 5.0, parts=(*PARTS[:2], LARGE_ARGUMENT)
+            )
             peer, _ = await loop.sock_accept(server)
             await until(lambda: attempt.connection is not None)
             assert not attempt.is_fully_written()
@@ -293,25 +297,25 @@
     run(body())
 
 
-def test_what_was_written_whole_is_not_cancelled_and_may_have_run() -> None:
+def test_fully_written_attempt_is_not_cancelled_when_its_client_leaves() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         assert len((await read_command(reader))[4]) == 8_000_000
-        read.set()
+        command_read.set()
         await may_answer.wait()
         writer.write(value(b"done"))
         await reader.read()
 
-    read = asyncio.Event()
+    command_read = asyncio.Event()
     may_answer = asyncio.Event()
 
     async def body() -> None:
         async with Peer(script) as peer:
             pool = PoolUnderTest(peer.address)
-            attempt = pool.send(parts=(PARTS[0].replace(b"*4", b"*5"), PARTS[1], HUGE))
-            await read.wait()
+            attempt = pool.send(parts=(PARTS[0].replace(b"*4", b"*5"), PARTS[1], LARGE_ARGUMENT))
+            await command_read.wait()
             await until(attempt.is_fully_written)
             pool.pool.cancel_if_unsent(attempt)
-            assert not attempt.ended
+            assert not attempt.has_ended
             may_answer.set()
             assert await pool.result() == (Outcome.OK, b"done")
 
--- a/tests/upstream/test_endpoint.py
+++ b/tests/upstream/test_endpoint.py
@@ -1,4 +1,4 @@
-"""The endpoint table: what an update costs, and updates that cross attempts."""
+"""Tests of the endpoint table: the cost of updates, and updates that arrive while an attempt waits."""
 
 from __future__ import annotations
 
@@ -25,12 +25,12 @@
 )
 from tests.support.pool import PoolUnderTest
 
-COUNT = 1_000
-ROWS = [(Backend(f"s{number}"), ("127.0.0.1", number + 1)) for number in range(COUNT)]
+BACKEND_COUNT = 1_000
+BACKEND_ROWS = [(Backend(f"s{number}"), ("127.0.0.1", number + 1)) for number in range(BACKEND_COUNT)]
 
 
-class CountedBook(AddressBook):
-    """Counts the entries that are read, written or iterated over."""
+class AccessCountingAddressBook(AddressBook):
+    """An address book that counts the entries that are read, written or iterated over."""
 
     __slots__ = ("touched",)
 
@@ -51,8 +51,8 @@
         return super().__iter__()
 
 
-class CountedEndpoints(dict[str, UpstreamEndpoint]):
-    """Counts the endpoints that are looked up or iterated over."""
+class AccessCountingEndpoints(dict[str, UpstreamEndpoint]):
+    """A dictionary that counts the endpoints that are looked up or iterated over."""
 
     touched = 0
 
@@ -82,16 +82,20 @@
 
 
 @pytest.mark.parametrize("readiness", list(Readiness))
-def test_a_change_of_one_entry_touches_no_other(readiness: Readiness) -> None:
+def test_update_of_one_entry_accesses_no_other_entry(readiness: Readiness) -> None:
     async def body() -> None:
         pool = PoolUnderTest()
-        pool.update(*ROWS)
-        endpoints = CountedEndpoints({info.id: UpstreamEndpoint(address) for info, address in ROWS})
+        pool.update(*BACKEND_ROWS)
+        endpoints = AccessCountingEndpoints(
+            {info.id: UpstreamEndpoint(address) for info, address in BACKEND_ROWS}
+        )
         before = {
             name: (id(endpoint), endpoint.address, endpoint.is_draining)
             for name, endpoint in endpoints.items()
         }
-        pool.pool.endpoints.addresses = book = CountedBook.copy_of(pool.pool.endpoints.addresses)
+        pool.pool.endpoints.addresses = book = AccessCountingAddressBook.copy_of(
+            pool.pool.endpoints.addresses
+        )
         pool.pool.endpoints.contacted = endpoints
         endpoints.touched = 0
         pool.update((Backend("s7", readiness=readiness), ("127.0.0.2", 7)), full=False)
@@ -102,16 +106,16 @@
             for name, endpoint in endpoints.items()
         }
         assert {name for name in before if after.get(name) != before[name]} == {"s7"}
-        assert len(pool.pool.endpoints.addresses) == COUNT - (readiness is Readiness.REMOVED)
+        assert len(pool.pool.endpoints.addresses) == BACKEND_COUNT - (readiness is Readiness.REMOVED)
 
     run(body())
 
 
-def test_a_backend_that_was_never_sent_to_has_no_endpoint() -> None:
+def test_endpoint_is_created_by_the_first_attempt() -> None:
     async def body() -> None:
         async with backend() as peer:
             pool = PoolUnderTest()
-            pool.update(*ROWS, (Backend("s-here"), peer.address))
+            pool.update(*BACKEND_ROWS, (Backend("s-here"), peer.address))
             assert not pool.pool.endpoints.contacted
             pool.send("s-here")
             assert (await pool.result())[0] is Outcome.OK
@@ -121,7 +125,7 @@
 
 
 @pytest.mark.parametrize("readiness", [Readiness.DRAINING, Readiness.REMOVED])
-def test_of_two_entries_with_one_id_the_last_holds(readiness: Readiness) -> None:
+def test_last_of_two_entries_with_the_same_id_applies(readiness: Readiness) -> None:
     async def body() -> None:
         async with backend() as peer:
             pool = PoolUnderTest()
@@ -145,13 +149,13 @@
         ("left out and back", Outcome.CONNECT_FAILED),
     ],
 )
-def test_a_whole_list_that_arrives_while_a_connection_comes_up(change: str, outcome: Outcome) -> None:
+def test_full_list_that_arrives_while_a_connection_is_opened(change: str, outcome: Outcome) -> None:
     async def body() -> None:
         async with backend(value(b"first")) as peer, backend(value(b"second")) as other:
             pool = PoolUnderTest(peer.address, other.address)
-            late = DelayedConnections()
-            pool.pool.loop = late  # type: ignore[assignment]
-            pool.send()  # the first attempt: its endpoint is made for it
+            delayed_connections = DelayedConnections()
+            pool.pool.loop = delayed_connections  # type: ignore[assignment]
+            pool.send()  # the first attempt creates the endpoint
             await asyncio.sleep(0)
             rest = (Backend("s1"), other.address)
             if change.startswith("left out"):
@@ -160,7 +164,7 @@
                 readiness = Readiness.DRAINING if change == "drains" else Readiness.READY
                 address = other.address if change == "moved" else peer.address
                 pool.update((Backend("s0", readiness=readiness), address), rest)
-            late.up.set()
+            delayed_connections.up.set()
             assert (await pool.result())[0] is outcome
             assert len(peer.commands) == (outcome is Outcome.OK)
             assert not other.commands
@@ -170,13 +174,13 @@
 
 
 @pytest.mark.parametrize("readiness", [Readiness.DRAINING, Readiness.REMOVED])
-def test_nothing_new_is_written_to_a_draining_or_removed_backend(readiness: Readiness) -> None:
-    """The list may arrive when the grace period is over: not even a waiting attempt is written."""
+def test_no_attempt_is_written_to_a_draining_or_removed_backend(readiness: Readiness) -> None:
+    """Even a waiting attempt is not written, as the list may arrive after the end of the grace period."""
 
     async def body() -> None:
         async with backend() as peer:
             pool = PoolUnderTest(peer.address)
-            pool.send()  # its connection comes up after the list
+            pool.send()  # its connection is established after the update
             pool.update((Backend("s0", readiness=readiness), peer.address), full=False)
             assert await pool.result() == (Outcome.CONNECT_FAILED, None)
             pool.send()
@@ -189,7 +193,7 @@
     run(body())
 
 
-def test_what_a_full_list_leaves_out_is_removed() -> None:
+def test_backend_missing_from_a_full_list_is_removed() -> None:
     async def body() -> None:
         async with backend() as peer, backend() as other:
             pool = PoolUnderTest(peer.address, other.address)
@@ -204,7 +208,7 @@
     run(body())
 
 
-def test_a_connection_in_use_while_its_backend_changes_address_is_not_used_again() -> None:
+def test_connection_in_use_while_its_backend_changes_address_is_not_reused() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         old.commands.append(await read_command(reader))
         await until(lambda: moved)
@@ -227,7 +231,7 @@
     run(body())
 
 
-def test_a_backend_at_a_new_address_is_reached_there() -> None:
+def test_attempt_goes_to_the_new_address_of_a_backend() -> None:
     async def body() -> None:
         async with backend(value(b"old")) as old, backend(value(b"new")) as new:
             pool = PoolUnderTest(old.address)
@@ -241,11 +245,11 @@
 
 
 @pytest.mark.parametrize("back", ["same", "elsewhere"])
-def test_a_backend_that_is_removed_and_listed_again_is_another_for_waiting_attempts(back: str) -> None:
+def test_waiting_attempt_fails_if_its_backend_is_removed_and_listed_again(back: str) -> None:
     async def body() -> None:
         async with backend() as peer, backend() as other:
             pool = PoolUnderTest(peer.address)
-            pool.send()  # its connection comes up after both lists
+            pool.send()  # its connection is established after both updates
             pool.update((Backend("s0", readiness=Readiness.REMOVED), peer.address), full=False)
             pool.update((Backend("s0"), peer.address if back == "same" else other.address), full=False)
             assert await pool.result() == (Outcome.CONNECT_FAILED, None)
@@ -259,7 +263,7 @@
 
 
 @pytest.mark.parametrize("change", ["moved", "gone", "drains"])
-def test_a_backend_that_leaves_or_moves_gets_no_attempt_that_waits_for_reuse(
+def test_attempt_waiting_for_reuse_is_not_written_to_a_backend_that_moved_or_left(
     change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body() -> None:
@@ -268,7 +272,7 @@
             pool.send()
             assert (await pool.result())[0] is Outcome.OK
             monkeypatch.setattr(pool.pool.idle, "reuse_delay_s", 0.05)
-            pool.send()  # the connection waits for its reuse delay first
+            pool.send()  # waits for the reuse delay of the idle connection
             readiness = {"moved": Readiness.READY, "gone": Readiness.REMOVED, "drains": Readiness.DRAINING}
             address = other.address if change == "moved" else peer.address
             pool.update((Backend("s0", readiness=readiness[change]), address), full=False)
--- a/tests/upstream/test_idle.py
+++ b/tests/upstream/test_idle.py
@@ -1,4 +1,4 @@
-"""Idle connections: which are used again, and when they are closed."""
+"""Tests of idle connections: when they are reused, and when they are closed."""
 
 from __future__ import annotations
 
@@ -7,12 +7,12 @@
 import pytest
 
 from ingress.interface import Outcome
-from ingress.upstream import pool as module
+from ingress.upstream import pool as pool_module
 from tests.support.peers import Peer, Reader, Writer, backend, read_command, run, until, value
 from tests.support.pool import PoolUnderTest
 
 
-def test_the_connection_used_last_is_used_again() -> None:
+def test_most_recently_used_connection_is_reused() -> None:
     async def body() -> None:
         async with backend() as peer:
             pool = PoolUnderTest(peer.address)
@@ -30,7 +30,7 @@
     run(body())
 
 
-def test_a_connection_that_the_peer_has_ended_is_not_used() -> None:
+def test_connection_closed_by_the_backend_is_not_reused() -> None:
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while True:
             await read_command(reader)
@@ -50,8 +50,8 @@
     run(body())
 
 
-def test_idle_connections_are_closed_before_the_backend_does(monkeypatch: pytest.MonkeyPatch) -> None:
-    monkeypatch.setattr(module, "SWEEP_INTERVAL_S", 0.01)
+def test_idle_connection_is_closed_before_the_backend_closes_it(monkeypatch: pytest.MonkeyPatch) -> None:
+    monkeypatch.setattr(pool_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def body() -> None:
         async with backend() as peer:
@@ -61,11 +61,11 @@
             swept = asyncio.Event()
             close_expired = pool.pool.idle.close_expired
 
-            def record_sweep(now: float) -> None:
+            def close_expired_and_record(now: float) -> None:
                 close_expired(now)
                 swept.set()
 
-            monkeypatch.setattr(pool.pool.idle, "close_expired", record_sweep)
+            monkeypatch.setattr(pool.pool.idle, "close_expired", close_expired_and_record)
             pool.clock_offset_s = 8.0
             await swept.wait()
             assert pool.pool.connection_count == 1
@@ -75,8 +75,8 @@
     run(body())
 
 
-def test_the_idle_timeout_is_shortened_when_an_idle_connection_broke() -> None:
-    """The backend drops an idle connection, which shows only as a reset of the next attempt."""
+def test_idle_timeout_is_shortened_after_an_idle_connection_broke() -> None:
+    """A connection that the backend dropped while it was idle resets the attempt that is written to it."""
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         for count in range(4):
@@ -95,7 +95,7 @@
             assert await pool.result(2) == (Outcome.RESET, None)
             pool.send()
             assert await pool.result(3) == (Outcome.OK, b"1")
-            pool.clock_offset_s = 3.0  # idle for 1 s, which is shorter than what broke
+            pool.clock_offset_s = 3.0  # idle for 1 s, less than the connection that broke
             pool.send()
             assert await pool.result(4) == (Outcome.OK, b"1")
             pool.clock_offset_s = 5.0
@@ -105,8 +105,8 @@
     run(body())
 
 
-def test_a_connection_is_not_used_again_while_a_duplicate_may_arrive() -> None:
-    """4.03 ms is the longest delay that was seen."""
+def test_connection_is_not_reused_while_a_duplicate_reply_may_arrive() -> None:
+    """Duplicate replies arrived up to 4.03 ms after the reply."""
 
     async def body() -> None:
         async with backend() as peer:
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -1,4 +1,4 @@
-"""The pool: connections that don't come up, limits over all backends, and write deadlines."""
+"""Tests of the pool: connections that can't be established, limits over all backends, write deadlines."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 from tests.support.sockets import refusing_address, unresponsive_address
 
 
-def test_a_refused_connection_never_ran() -> None:
+def test_attempt_on_a_refused_connection_is_connect_failed() -> None:
     async def body() -> None:
         pool = PoolUnderTest(refusing_address())
         pool.send()
@@ -25,7 +25,7 @@
 
 
 @pytest.mark.parametrize("timeout_s", [5.0, 0.05])
-def test_a_connection_that_never_comes_up_never_ran(timeout_s: float) -> None:
+def test_attempt_without_a_connection_in_time_is_connect_failed(timeout_s: float) -> None:
     async def body() -> None:
         with unresponsive_address() as address:
             pool = PoolUnderTest(address, connect_timeout_s=0.1)
@@ -36,19 +36,19 @@
     run(body())
 
 
-def test_a_lack_of_descriptors_is_no_fault_of_the_backend(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_lack_of_descriptors_does_not_count_as_backend_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
         async with backend() as peer:
             pool = PoolUnderTest(peer.address)
-            real = socket.socket
+            original_socket = socket.socket
 
-            def none_left(*_: object) -> None:
+            def raise_no_descriptors(*_: object) -> None:
                 raise OSError(errno.EMFILE, "too many open files")
 
-            monkeypatch.setattr(socket, "socket", none_left)
+            monkeypatch.setattr(socket, "socket", raise_no_descriptors)
             pool.send()
             assert await pool.result() == (Outcome.SUPERSEDED, None)
-            monkeypatch.setattr(socket, "socket", real)
+            monkeypatch.setattr(socket, "socket", original_socket)
             assert pool.pool.connection_count == 0
             pool.send()
             assert await pool.result(2) == (Outcome.OK, b"r1")
@@ -56,16 +56,16 @@
     run(body())
 
 
-def test_connections_are_bounded_over_all_backends() -> None:
+def test_connections_are_limited_over_all_backends_together() -> None:
     async def body() -> None:
         async with backend() as one, backend(b"") as silent:
             pool = PoolUnderTest(one.address, silent.address, max_connections=2)
             pool.send("s0")
             await pool.result()
             pool.send("s1")
-            pool.send("s1")  # takes the place of the idle connection to the other
+            pool.send("s1")  # its connection replaces the idle one to s0
             pool.send("s1")
-            assert await pool.result(2) == (Outcome.SUPERSEDED, None)  # no fault of the backend's
+            assert await pool.result(2) == (Outcome.SUPERSEDED, None)  # does not count against the backend
             await until(lambda: len(silent.commands) == 2)
             assert pool.pool.connection_count == 2
             assert pool.results[-1].number == 3
@@ -74,8 +74,8 @@
 
 
 @pytest.mark.parametrize("fresh", [True, False])
-def test_a_repeat_whose_connection_comes_up_too_late_is_not_written(fresh: bool) -> None:
-    """Backends remember an idempotency key for a while only: later the repeat would take effect again."""
+def test_retry_is_not_written_after_its_write_deadline(fresh: bool) -> None:
+    """A retry after the deduplication window of its backend would take effect a second time."""
 
     async def body() -> None:
         async with backend() as peer:
@@ -84,12 +84,12 @@
             pool.pool.clock = lambda: now
             if not fresh:
                 pool.send()
-                assert (await pool.result())[0] is Outcome.OK  # the connection waits for its reuse delay
+                assert (await pool.result())[0] is Outcome.OK  # leaves a connection in its reuse delay
             pool.send(write_within_s=1.0)
-            now += 0.995  # it comes up, or may be used again, just then
+            now += 0.995  # the time at which a connection is established or may be reused
             assert await pool.result(2 - fresh) == (Outcome.SUPERSEDED, None)
             now += 1.0
-            pool.send(write_within_s=1.0)  # nothing wrong with the connection
+            pool.send(write_within_s=1.0)  # the connection is still usable
             assert (await pool.result(3 - fresh))[0] is Outcome.OK
             assert len(peer.commands) == 2 - fresh
             assert peer.connections == 1
--- a/tests/upstream/test_replies.py
+++ b/tests/upstream/test_replies.py
@@ -1,4 +1,4 @@
-"""Reading replies: where one ends, and the load report it holds."""
+"""Tests of reading replies: the end of a reply, its outcome and value, and its load report."""
 
 from __future__ import annotations
 
@@ -9,18 +9,20 @@
 from ingress.upstream.replies import (
     BackendReply,
     MalformedReplyError,
+    find_reply_end,
     parse_reply,
     read_load_report,
-    reply_end,
 )
 
 
-def test_a_reply_that_arrives_byte_by_byte() -> None:
-    whole = b"*3\r\n$5\r\nhello\r\n$-1\r\n$-1\r\n"
-    assert [reply_end(whole[:n]) for n in range(len(whole))] == [-1] * len(whole)
-    assert reply_end(whole + b"*") == len(whole)
-    line = b"-ERR failed\r\n"
-    assert [reply_end(line[:n]) for n in range(len(line))] == [-1] * len(line)
+def test_reply_end_is_incomplete_until_the_last_byte_arrives() -> None:
+    complete_reply = b"*3\r\n$5\r\nhello\r\n$-1\r\n$-1\r\n"
+    assert [find_reply_end(complete_reply[:n]) for n in range(len(complete_reply))] == [-1] * len(
+        complete_reply
+    )
+    assert find_reply_end(complete_reply + b"*") == len(complete_reply)
+    error_line = b"-ERR failed\r\n"
+    assert [find_reply_end(error_line[:n]) for n in range(len(error_line))] == [-1] * len(error_line)
 
 
 @pytest.mark.parametrize(
@@ -36,7 +38,7 @@
         (b"cpu=0.5", {"util": 0.5}),
     ],
 )
-def test_a_load_report_loses_what_is_no_usable_figure(text: bytes | None, load: dict[str, float]) -> None:
+def test_load_report_omits_unusable_figures(text: bytes | None, load: dict[str, float]) -> None:
     assert read_load_report(text) == load
 
 
@@ -57,7 +59,7 @@
         ),
     ],
 )
-def test_what_a_whole_reply_says(frame: bytes, reply: BackendReply) -> None:
+def test_complete_reply_is_interpreted(frame: bytes, reply: BackendReply) -> None:
     assert parse_reply(frame, hiredis.Reader()) == reply
 
 
@@ -72,6 +74,6 @@
         b"-\r\n",
     ],
 )
-def test_a_whole_frame_that_is_no_reply(frame: bytes) -> None:
+def test_complete_frame_that_is_no_reply_raises_an_error(frame: bytes) -> None:
     with pytest.raises(MalformedReplyError):
         parse_reply(frame, hiredis.Reader())
