--- a/ingress/discovery/backoff.py
+++ b/ingress/discovery/backoff.py
@@ -1,29 +1,30 @@
-"""Delays before a failed call to the discovery agent is retried.
+"""Compute the delay before a failed call to the discovery agent is retried.
 
-The delays are random (jitter) so that gateways which failed together do not retry together: a service that
-is overloaded would otherwise never recover.
+The delays are random (jitter), so that gateways whose calls failed at the same time do not retry at the same
+time.  An overloaded service would otherwise never recover.
 
-They are also bounded, so that a change is received before it counts as notified (`timing`).  The worst case
-where lists are polled: discovery becomes reachable just after a call was rejected, and the next call is lost.
+The delays are also bounded, so that a change is received before it counts as notified (see `timing`).  The
+worst case with an agent that has to be polled: the agent becomes reachable just after it rejected a call, and
+the next call is lost.  The times then add up as follows:
 
     longest delay after the rejection     MAX_REJECTED_BACKOFF_S        1.25 s
-    the call that is lost                 poll_timeout_s                2.25 s
+    timeout of the lost call              poll_timeout_s                2.25 s
     longest delay after a timeout         MAX_TIMEOUT_BACKOFF_S         0.25 s
-    the call that brings the change       SERVICE_TIME_LIMIT_S          2.00 s
+    call that returns the change          SERVICE_TIME_LIMIT_S          2.00 s
     margin                                NOTIFICATION_MARGIN_S         0.25 s
-                                          NOTIFIED_WITHIN_S             6.00 s
+    total                                 NOTIFIED_WITHIN_S             6.00 s
 
-The delay after any other failure is at most `max_backoff_s`, which is shorter.  A watch whose connection
-stops working takes less as well:
+The delay after any other failure is at most `max_backoff_s`, which is shorter.  A long poll whose connection
+stops working takes less time, too:
 
-    the watch that is lost                WATCH_WAIT_MS                 1.00 s
+    timeout of the lost long poll         WATCH_WAIT_MS                 1.00 s
                                           watch_grace_s                 2.25 s
     longest delay after a timeout         MAX_TIMEOUT_BACKOFF_S         0.25 s
-    the call that brings the change       SERVICE_TIME_LIMIT_S          2.00 s
+    call that returns the change          SERVICE_TIME_LIMIT_S          2.00 s
     margin                                NOTIFICATION_MARGIN_S         0.25 s
-                                                                        5.75 s
+    total                                                               5.75 s
 
-Where lists are pushed each of the calls takes less.
+With an agent that pushes changes, each of these calls takes less time.
 """
 
 from __future__ import annotations
@@ -39,9 +40,10 @@
     WatchTiming,
 )
 
-INITIAL_BACKOFF_S = 0.1  # upper bound before the first retry; each further failure doubles it
-MAX_TIMEOUT_BACKOFF_S = 0.25  # a call that timed out has spaced the calls already
-# A rejected call costs the other gateways a turn, so retries begin later and may be delayed longer.
+INITIAL_BACKOFF_S = 0.1  # upper bound of the first delay; each further failure doubles the bound
+MAX_TIMEOUT_BACKOFF_S = 0.25  # short, since the timeout itself has already spaced the calls
+# The agent serves one call after another, so a call that it rejects delays the calls of other gateways.
+# Retries of rejected calls therefore start later and may be delayed longer.
 INITIAL_REJECTED_BACKOFF_S = 0.8
 MAX_REJECTED_BACKOFF_S = (
     NOTIFIED_WITHIN_S
@@ -50,38 +52,39 @@
     - MAX_TIMEOUT_BACKOFF_S
     - SERVICE_TIME_LIMIT_S
 )
-MAX_DOUBLINGS = 32  # keeps the power within a float; the upper bounds are reached long before
+MAX_DOUBLINGS = 32  # prevents a float overflow; the upper bounds are reached long before
 
 
-def backoff_delay(failures: int, error: Exception, timing: WatchTiming, rng: random.Random) -> float:
-    """Return the seconds before the retry after a call that failed with `error`.
+def backoff_delay(failure_count: int, error: Exception, timing: WatchTiming, rng: random.Random) -> float:
+    """Return the delay in seconds before the retry of a call that failed with `error`.
 
-    `failures` counts the failed calls in a row before that one.
+    `failure_count` is the number of consecutive failed calls before this one.
     """
     if isinstance(error, DiscoveryRejectedError):
-        return rejected_backoff_delay(failures, rng)
+        return rejected_backoff_delay(failure_count, rng)
     if isinstance(error, DiscoveryTimeoutError):
-        return jittered_delay(failures, min(timing.max_backoff_s, MAX_TIMEOUT_BACKOFF_S), rng)
-    return jittered_delay(failures, timing.max_backoff_s, rng)
+        return jittered_delay(failure_count, min(timing.max_backoff_s, MAX_TIMEOUT_BACKOFF_S), rng)
+    return jittered_delay(failure_count, timing.max_backoff_s, rng)
 
 
-def jittered_delay(failures: int, max_backoff_s: float, rng: random.Random) -> float:
+def jittered_delay(failure_count: int, max_backoff_s: float, rng: random.Random) -> float:
     """Return a delay in seconds by exponential backoff with full jitter."""
-    bound = _exponential(INITIAL_BACKOFF_S, failures)
-    return rng.uniform(0.0, min(max_backoff_s, bound))
+    bound_s = _exponential_backoff_s(INITIAL_BACKOFF_S, failure_count)
+    return rng.uniform(0.0, min(max_backoff_s, bound_s))
 
 
-def rejected_backoff_delay(failures: int, rng: random.Random) -> float:
+def rejected_backoff_delay(failure_count: int, rng: random.Random) -> float:
     """Return the delay in seconds after a rejected call.
 
-    Full jitter at first; equal jitter once the bound is reached, which brings a third fewer calls to an
-    overloaded service.
+    The delay has full jitter (from 0 to the bound) while the bound grows, and equal jitter (from half the
+    bound to the bound) once it is at its maximum.  Equal jitter sends a third fewer calls to an overloaded
+    service.
     """
-    bound = _exponential(INITIAL_REJECTED_BACKOFF_S, failures)
-    if bound >= MAX_REJECTED_BACKOFF_S:
+    bound_s = _exponential_backoff_s(INITIAL_REJECTED_BACKOFF_S, failure_count)
+    if bound_s >= MAX_REJECTED_BACKOFF_S:
         return rng.uniform(MAX_REJECTED_BACKOFF_S / 2, MAX_REJECTED_BACKOFF_S)
-    return rng.uniform(0.0, min(MAX_REJECTED_BACKOFF_S, bound))
+    return rng.uniform(0.0, min(MAX_REJECTED_BACKOFF_S, bound_s))
 
 
-def _exponential(initial: float, failures: int) -> float:
-    return initial * 2.0 ** min(failures, MAX_DOUBLINGS)
+def _exponential_backoff_s(initial_s: float, failure_count: int) -> float:
+    return initial_s * 2.0 ** min(failure_count, MAX_DOUBLINGS)
--- a/ingress/discovery/client.py
+++ b/ingress/discovery/client.py
@@ -1,4 +1,4 @@
-"""What the watch needs of a client of the discovery agent."""
+"""The interface of a discovery agent's client, as the watch uses it."""
 
 from __future__ import annotations
 
@@ -10,15 +10,15 @@
 
 
 class DiscoveryClient(Protocol):
-    """Fetches endpoint lists from a discovery agent."""
+    """A client that fetches endpoint lists from a discovery agent."""
 
-    async def get(self, query: str, timeout: float, max_body_bytes: int) -> bytes | bytearray:
-        """Return the body of the answer to one call.
+    async def fetch(self, query: str, timeout_s: float, max_body_bytes: int) -> bytes | bytearray:
+        """Make one call and return the body of the answer.
 
-        `query` is empty or begins with "?"; `timeout` is in seconds.  Raises DiscoveryUnavailableError if
-        there is no answer and InvalidEndpointListError if its body is longer than `max_body_bytes`.
+        `query` is empty or begins with "?".  Raise DiscoveryUnavailableError if there is no usable answer,
+        and InvalidEndpointListError if its body is longer than `max_body_bytes`.
         """
 
 
 ClientFactory = Callable[[Address], AbstractAsyncContextManager[DiscoveryClient]]
-"""Opens a client of the agent at an address; leaving the context closes the client."""
+"""A function that opens a client of the agent at an address; leaving its context closes the client."""
--- a/ingress/discovery/errors.py
+++ b/ingress/discovery/errors.py
@@ -1,4 +1,4 @@
-"""The ways in which a poll of the discovery agent fails."""
+"""Errors of a call to the discovery agent."""
 
 from __future__ import annotations
 
@@ -6,11 +6,11 @@
 
 
 class DiscoveryError(IngressError):
-    """Base of all failures of a poll."""
+    """Base of all errors of a call to the discovery agent."""
 
 
 class DiscoveryUnavailableError(DiscoveryError):
-    """The agent gave no usable answer; the endpoint list that is held stays valid."""
+    """The agent gave no usable answer; the endpoint list held by the watch stays valid."""
 
 
 class DiscoveryTimeoutError(DiscoveryUnavailableError):
@@ -26,4 +26,4 @@
 
 
 class InvalidEndpointListError(DiscoveryError, ValueError):
-    """An answer is too long, can't be decoded, or does not apply to the endpoint list that is held."""
+    """An answer is too long, can't be decoded, or doesn't apply to the endpoint list held by the watch."""
--- a/ingress/discovery/http_client.py
+++ b/ingress/discovery/http_client.py
@@ -21,40 +21,40 @@
 
 
 class HttpDiscoveryClient:
-    """A `DiscoveryClient` that keeps its connection from one call to the next."""
+    """A `DiscoveryClient` that reuses its connection for the next call."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._connection: HttpConnection | None = None
 
-    async def get(self, query: str, timeout: float, max_body_bytes: int) -> bytes | bytearray:
-        """See `DiscoveryClient.get`; the timeout covers connecting and reading the whole response."""
+    async def fetch(self, query: str, timeout_s: float, max_body_bytes: int) -> bytes | bytearray:
+        """See `DiscoveryClient.fetch`; the timeout includes connecting and reading the whole response."""
         try:
-            async with asyncio.timeout(timeout):
-                return await self._get(query, max_body_bytes)
+            async with asyncio.timeout(timeout_s):
+                return await self._fetch_with_resend(query, max_body_bytes)
         except TimeoutError as error:
-            raise DiscoveryTimeoutError(f"no answer in {timeout:g} s") from error
+            raise DiscoveryTimeoutError(f"no answer in {timeout_s:g} s") from error
 
     def close(self) -> None:
-        """Close the connection that is kept, if any."""
+        """Close the kept connection, if any."""
         if self._connection is not None:
             self._connection.close()
             self._connection = None
 
-    async def _get(self, query: str, max_body_bytes: int) -> bytearray:
+    async def _fetch_with_resend(self, query: str, max_body_bytes: int) -> bytearray:
         if self._connection is not None and self._connection.has_ended:
             self.close()
-        reuses_connection = self._connection is not None
+        is_reused = self._connection is not None
         try:
-            return await self._call(query, max_body_bytes)
+            return await self._fetch_once(query, max_body_bytes)
         except NoResponseError:
-            # The agent may close a kept connection at any time; a GET is idempotent and may be sent again.
-            if not reuses_connection:
+            # The agent may close a kept connection at any time.  A GET is idempotent, so it is sent again.
+            if not is_reused:
                 raise
-        return await self._call(query, max_body_bytes)
+        return await self._fetch_once(query, max_body_bytes)
 
-    async def _call(self, query: str, max_body_bytes: int) -> bytearray:
-        """Make one call on the kept connection, or on a new one; keep it afterwards if it can be reused."""
+    async def _fetch_once(self, query: str, max_body_bytes: int) -> bytearray:
+        """Make one call on the kept or a new connection, and keep the connection if it can be reused."""
         connection = self._connection
         self._connection = None
         try:
@@ -78,8 +78,8 @@
 
 
 @asynccontextmanager
-async def connect(address: Address) -> AsyncIterator[DiscoveryClient]:
-    """Open a client of the agent at an address; its connection is closed at the end of the context."""
+async def open_client(address: Address) -> AsyncIterator[DiscoveryClient]:
+    """Open a client of the agent at an address; close its connection at the end of the context."""
     client = HttpDiscoveryClient(address)
     try:
         yield client
--- a/ingress/discovery/http_connection.py
+++ b/ingress/discovery/http_connection.py
@@ -21,7 +21,7 @@
 
 
 class HttpConnection:
-    """A connection to the agent that carries one call at a time."""
+    """A connection to the agent, which carries one call at a time."""
 
     def __init__(self, reader: asyncio.StreamReader, writer: asyncio.StreamWriter, host: str) -> None:
         self._reader = reader
@@ -32,46 +32,46 @@
 
     @classmethod
     async def open(cls, address: Address) -> Self:
-        """Connect to the agent; raises OSError if the connection can't be established."""
+        """Connect to the agent; raise OSError if the connection can't be established."""
         reader, writer = await asyncio.open_connection(*address, limit=READ_SIZE_BYTES)
         return cls(reader, writer, f"{address[0]}:{address[1]}")
 
     def close(self) -> None:
-        """Abort the connection; data in flight is lost."""
+        """Abort the connection; unsent data is lost."""
         self._writer.transport.abort()
 
     async def get(self, target: str, max_body_bytes: int) -> bytearray:
-        """Return the body of the response to a GET of `target`.
+        """Send a GET of `target` and return the body of the response.
 
-        Raises DiscoveryRejectedError for any status but 200, InvalidEndpointListError for a body of more than
+        Raise DiscoveryRejectedError for any status but 200, InvalidEndpointListError for a body of more than
         `max_body_bytes` bytes, NoResponseError or DiscoveryUnavailableError if the connection ends before or
-        within the response, and OSError or h11.RemoteProtocolError if it fails otherwise.
+        within the response, and OSError or h11.RemoteProtocolError for any other failure.
         """
         self._response_started = False
         self._send_request(target)
         response = await self._read_response_head()
         if response.status_code != HTTP_OK:
-            self._skip_received_body()
+            self._discard_received_body()
             raise DiscoveryRejectedError(f"status {response.status_code}")
         if _content_length(response) > max_body_bytes:
-            raise _too_long(max_body_bytes)
+            raise _too_long_error(max_body_bytes)
         return await self._read_body(max_body_bytes)
 
     def prepare_reuse(self) -> bool:
-        """Make the connection ready for another call and return True, or return False if it can't be reused.
+        """Prepare the connection for another call; return whether it can be reused.
 
-        It can't if the response was not read to its end, if more data than the response has arrived, or if
-        either side asked to close the connection.
+        It can't be reused if the response was not read to its end, if data after the response has arrived, or
+        if either side asked to close the connection.
         """
-        is_complete = self._protocol.our_state is h11.DONE and self._protocol.their_state is h11.DONE
-        if not is_complete or self._protocol.trailing_data[0]:
+        is_cycle_complete = self._protocol.our_state is h11.DONE and self._protocol.their_state is h11.DONE
+        if not is_cycle_complete or self._protocol.trailing_data[0]:
             return False
         self._protocol.start_next_cycle()
         return True
 
     @property
     def has_ended(self) -> bool:
-        """Whether the connection is known to have been ended, by either side."""
+        """Whether either side is known to have ended the connection."""
         return self._writer.is_closing() or self._reader.at_eof()
 
     @property
@@ -91,19 +91,19 @@
             if isinstance(event, h11.Response):
                 return event
             if not isinstance(event, h11.InformationalResponse):
-                raise DiscoveryUnavailableError("the connection ended before the answer")
+                raise DiscoveryUnavailableError("the connection ended before the final response")
 
     async def _read_body(self, max_body_bytes: int) -> bytearray:
         body = bytearray()
         while isinstance(event := await self._next_event(), h11.Data):
             body += event.data
-            # A response without a Content-Length may go on forever, so the limit is checked here too.
+            # A response without a Content-Length may never end, so the limit is checked here as well.
             if len(body) > max_body_bytes:
-                raise _too_long(max_body_bytes)
+                raise _too_long_error(max_body_bytes)
         return body
 
-    def _skip_received_body(self) -> None:
-        """Discard the part of the body that has arrived: if it is complete the connection can be reused."""
+    def _discard_received_body(self) -> None:
+        """Discard the part of the body that has arrived; if it is complete, the connection can be reused."""
         with suppress(h11.RemoteProtocolError):
             while isinstance(self._protocol.next_event(), h11.Data):
                 pass
@@ -111,7 +111,7 @@
     async def _next_event(self) -> h11.Event | type[h11.PAUSED]:
         """Return the next part of the response.
 
-        A reset raises OSError; unlike an orderly close it never counts as the end of a body without a length.
+        Raise OSError on a reset, so that only an orderly close ends a body without a Content-Length.
         """
         while True:
             event = self._protocol.next_event()
@@ -119,7 +119,7 @@
                 return cast(h11.Event | type[h11.PAUSED], event)
             data = await self._reader.read(READ_SIZE_BYTES)
             if not data and not self._response_started:
-                raise NoResponseError("the connection ended before the answer")
+                raise NoResponseError("the connection ended before the response")
             self._response_started = True
             self._protocol.receive_data(data)
 
@@ -129,7 +129,7 @@
     return next((int(value) for name, value in response.headers if name == b"content-length"), 0)
 
 
-def _too_long(max_body_bytes: int) -> InvalidEndpointListError:
+def _too_long_error(max_body_bytes: int) -> InvalidEndpointListError:
     return InvalidEndpointListError(
         f"the list is too long: more than the {max_body_bytes} bytes that limits.memory_mb allows"
     )
--- a/ingress/discovery/watch.py
+++ b/ingress/discovery/watch.py
@@ -1,4 +1,4 @@
-"""The watch on the discovery agent: long polls, retries, and the version of the list that is held."""
+"""Watch the discovery agent for changes of the endpoint list, with long polls and retries."""
 
 from __future__ import annotations
 
@@ -11,79 +11,86 @@
 from ingress.discovery.client import ClientFactory, DiscoveryClient
 from ingress.discovery.endpoint_list import EndpointList, decode_endpoint_list
 from ingress.discovery.errors import DiscoveryUnavailableError, InvalidEndpointListError
-from ingress.discovery.http_client import connect
+from ingress.discovery.http_client import open_client
 from ingress.discovery.timing import POLLED_TIMING, RETRY_WAIT_MS, WatchTiming
 from ingress.interface import EndpointUpdateKind
 from ingress.network.addresses import Address
 
 log = logging.getLogger(__name__)
 
-# Bytes that an answer may always have: about 30,000 backends.
+# Answers up to this size are accepted whatever the memory limit: about 30,000 backends.
 DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
-LOGGED_FAILURES = (0, 10, 100, 1000)  # numbers of failures in a row before the one that is logged
+# A failure is logged only if the number of consecutive failures before it is one of these.
+LOGGED_FAILURE_COUNTS = (0, 10, 100, 1000)
 
-OnUpdate = Callable[[EndpointUpdateKind, EndpointList], None]
-Sleep = Callable[[float], Awaitable[None]]
+UpdateCallback = Callable[[EndpointUpdateKind, EndpointList], None]
+SleepFunction = Callable[[float], Awaitable[None]]
 
 
 class EndpointWatch:
-    """Polls the agent for as long as `run` runs; each change goes to `on_update`."""
+    """A watch that polls the agent while `run` is running and calls `on_update` for each change."""
 
     def __init__(
         self,
         address: Address,
-        on_update: OnUpdate,
+        on_update: UpdateCallback,
         rng: random.Random,
         version: int | None = None,
         timing: WatchTiming = POLLED_TIMING,
-        connect: ClientFactory = connect,
-        sleep: Sleep = asyncio.sleep,
+        open_client: ClientFactory = open_client,
+        sleep: SleepFunction = asyncio.sleep,
         max_body_bytes: int = 0,
     ) -> None:
-        """`version` is that of the list held at the start; None: the first call asks for the complete list.
+        """Make a watch that does not call the agent before `run`.
 
-        Answers may have `max_body_bytes` bytes, or DEFAULT_MAX_BODY_BYTES if that is more.
+        `version` is the version of the list that is held at the start; with None, the first call asks for the
+        full list.  Answers may have `max_body_bytes` bytes, or DEFAULT_MAX_BODY_BYTES if that is more.
         """
         self.version = version
         self._address = address
         self._on_update = on_update
         self._rng = rng
         self._timing = timing
-        self._connect = connect
+        self._open_client = open_client
         self._sleep = sleep
         self._max_body_bytes = max(DEFAULT_MAX_BODY_BYTES, max_body_bytes)
 
     async def run(self) -> None:
-        """Poll until cancelled; a call that fails is retried after a backoff delay."""
-        failures = 0
-        async with self._connect(self._address) as client:
+        """Poll until cancelled; retry a failed call after a backoff delay."""
+        failure_count = 0
+        async with self._open_client(self._address) as client:
             while True:
                 try:
-                    await self._poll(client, is_retry=failures > 0)
-                    failures = 0
-                # Any exception: a fault in decoding or in `on_update` must not end the watch either, as the
-                # gateway would then never again hear of a change.  The list that is held stays in use.
+                    await self._poll(client, is_retry=failure_count > 0)
+                    failure_count = 0
+                # Any exception is caught: if an error in decoding or in `on_update` ended the watch, the
+                # gateway would receive no further change.  The list that is held stays in use.
                 except Exception as error:  # noqa: BLE001
-                    self._record_failure(failures, error)
-                    await self._sleep(backoff_delay(failures, error, self._timing, self._rng))
-                    failures += 1
+                    self._record_failure(failure_count, error)
+                    await self._sleep(backoff_delay(failure_count, error, self._timing, self._rng))
+                    failure_count += 1
 
-    def _record_failure(self, failures: int, error: Exception) -> None:
-        if failures in LOGGED_FAILURES:
+    def _record_failure(self, failure_count: int, error: Exception) -> None:
+        if failure_count in LOGGED_FAILURE_COUNTS:
             log.warning("discovery poll failed error=%s reason=%s", type(error).__name__, error)
-        # The complete list costs discovery most: it is asked for only if the list held here may be wrong.
+        # The full list is the most expensive answer for discovery, so the watch asks for it only if the list
+        # held here may be wrong.
         if not isinstance(error, DiscoveryUnavailableError):
             self.version = None
 
     async def _poll(self, client: DiscoveryClient, *, is_retry: bool) -> None:
-        query, timeout = self._next_call(is_retry)
-        # No variable holds the body: it may be long, and its memory is freed before the update is handled.
-        update = await decode_endpoint_list(await client.get(query, timeout, self._max_body_bytes))
-        # An agent that restarted may count its versions anew: its changes don't apply to the list held here.
-        if not update.full and (self.version is None or update.version < self.version):
-            raise InvalidEndpointListError(f"changes of version {update.version} for version {self.version}")
+        query, timeout_s = self._next_call(is_retry)
+        # The body may be long.  No variable refers to it, so that its memory is freed before the update is
+        # handled.
+        update = await decode_endpoint_list(await client.fetch(query, timeout_s, self._max_body_bytes))
+        # A restarted agent may count its versions from the start again; its changes then don't apply to the
+        # list held here.
+        if not update.is_full and (self.version is None or update.version < self.version):
+            raise InvalidEndpointListError(
+                f"changes of version {update.version} do not apply to version {self.version}"
+            )
         self.version = update.version
-        if update.full:
+        if update.is_full:
             self._on_update(EndpointUpdateKind.REPLACE, update)
         elif update.backends:
             self._on_update(EndpointUpdateKind.UPDATE, update)
--- a/ingress/upstream/connection.py
+++ b/ingress/upstream/connection.py
@@ -25,7 +25,7 @@
 
 
 class ConnectionOwner(Protocol):
-    """The pool that made a connection, as the connection calls it back."""
+    """The callbacks of a connection, implemented by the pool that made it."""
 
     reply_buffer: BufferBudget
 
@@ -72,13 +72,14 @@
         self.idle_since = 0.0  # time at which the connection last became idle; 0 if it never was
         self.idle_before_attempt_s = 0.0  # idle time before the current attempt
         self.is_open = True
-        # Whether the operating system lacks part of the command, so that the backend can't have executed it.
+        # Whether part of the command is not handed to the operating system yet, so that the backend has not
+        # executed the command.
         self.has_unsent_bytes = False
 
     # Callbacks from the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Make the transport report as soon as it can't hand all bytes to the operating system."""
+        """Make the transport call `pause_writing` as soon as it has to buffer any bytes."""
         self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is a class of its own
         self.transport.set_write_buffer_limits(high=0)
 
--- a/ingress/upstream/endpoint.py
+++ b/ingress/upstream/endpoint.py
@@ -17,7 +17,7 @@
     address: Address
     idle: list[BackendConnection] = field(default_factory=list)  # the most recently used one is the last
     is_draining: bool = False  # True also once the backend was removed; no attempt is written to it then
-    is_listed: bool = True  # False once it was removed; if its id is listed again, that makes a new endpoint
+    is_listed: bool = True  # False once the backend was removed; listing its id again makes a new endpoint
 
     def close_idle_connections(self) -> None:
         """Close the connections that are idle."""
@@ -56,10 +56,10 @@
         self.addresses = AddressBook.copy_of(addresses)
         self.draining_ids.clear()
         ready = Readiness.READY  # a local variable, since the loop over a long list reads it for each entry
-        changed = [backend for backend in backends if backend.readiness is not ready]
+        backends_to_apply = [backend for backend in backends if backend.readiness is not ready]
         if len(addresses) < len(backends):
-            changed = list(backends)  # some id has several entries, of which the last one applies
-        self.update_entries(changed, addresses)
+            backends_to_apply = list(backends)  # some id has several entries, of which the last one applies
+        self.update_entries(backends_to_apply, addresses)
         for backend_id in list(self.contacted):
             self._refresh_endpoint(backend_id)
 
--- a/ingress/upstream/idle.py
+++ b/ingress/upstream/idle.py
@@ -8,12 +8,12 @@
 
 # Share of a backend's idle timeout after which a connection is closed here, before the backend closes it.
 IDLE_TIMEOUT_SHARE = 0.6
-MIN_IDLE_TIMEOUT_S = 0.1  # lower bound after connections broke; most connections are reused sooner than this
+MIN_IDLE_TIMEOUT_S = 0.1  # lower bound of the shortened timeout; most connections are reused sooner
 REUSE_DELAY_S = 0.010  # after a reply, before the next attempt: duplicate replies arrived up to 4 ms late
 
 
 class IdleConnections:
-    """The idle connections of all endpoints of a pool."""
+    """Selects idle connections of the endpoints for reuse, and closes the others in time."""
 
     def __init__(self, endpoints: EndpointTable, backend_idle_timeout_s: float) -> None:
         """Keep idle connections for a share of `backend_idle_timeout_s`, after which backends close them."""
--- a/ingress/upstream/pool.py
+++ b/ingress/upstream/pool.py
@@ -1,4 +1,4 @@
-"""The pool of connections to backends, which sends the attempts."""
+"""Send attempts to backends on pooled connections."""
 
 from __future__ import annotations
 
@@ -23,7 +23,8 @@
 
 MAX_LOGGED_FAULTS = 50  # faults that are logged one by one; after these only every hundredth is logged
 SWEEP_INTERVAL_S = 1.0  # time between two checks for connections whose idle timeout is over
-# Time for a command to reach its backend, which may be in a more distant zone than the first backend was.
+# Time reserved for a command to reach its backend, whose zone may be more distant than that of the previous
+# attempt's backend.
 TRANSIT_MARGIN_S = 0.01
 
 # The arguments are the attempt, its outcome, the value (None unless the outcome is OK), and the load report
--- a/ingress/upstream/replies.py
+++ b/ingress/upstream/replies.py
@@ -16,7 +16,7 @@
 from ingress.settings_codec import LOAD_REPORT_FIELDS
 
 MAX_VALUE_BYTES = 1024 * 1024  # some values are far larger than the 64 KiB limit of commands
-MAX_REPLY_BYTES = MAX_VALUE_BYTES + 8 * 1024  # a value, figures and a load report
+MAX_REPLY_BYTES = MAX_VALUE_BYTES + 8 * 1024  # the value, the figures and the load report together
 MAX_ERROR_LINE_BYTES = 1024
 MAX_LOGGED_BYTES = 80  # shown in the log of a reply that can't be interpreted
 REPLY_ITEM_COUNT = 3
@@ -32,7 +32,7 @@
     """A reply of a backend."""
 
     outcome: Outcome  # OK, REJECTED or ERROR
-    value: bytes | None  # only with OK
+    value: bytes | None  # None unless the outcome is OK
     load_report: dict[str, float]  # by the names of `LOAD_REPORT_FIELDS`; empty if the reply held none
 
 
@@ -73,7 +73,7 @@
     except hiredis.HiredisError as error:
         raise MalformedReplyError(str(error)) from error
     if len(items) != REPLY_ITEM_COUNT or items[0] is None:
-        raise MalformedReplyError("not a value, figures and a load report")
+        raise MalformedReplyError("expected a value, figures and a load report")
     return BackendReply(Outcome.OK, items[0], read_load_report(items[2]))
 
 
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Endpoint lists: decoding, invalid entries, size limits, and the event loop during a long list."""
+"""Tests of endpoint lists: decoding, invalid entries, size limits, and long lists."""
 
 from __future__ import annotations
 
@@ -35,7 +35,7 @@
 from tests.support.peers import Peer, Reader, Writer, config, entry, run, until
 
 
-def whole_list(count: int, **changes: Any) -> bytes:
+def full_list_body(count: int, **changes: Any) -> bytes:
     rows = [entry(LOCAL_ADDRESS, f"s-{number:08x}") | changes for number in range(count)]
     return list_body(41, True, *rows)
 
@@ -55,7 +55,7 @@
     ],
 )
 @pytest.mark.parametrize("kind", [bytes, bytearray])
-def test_the_form_of_the_text_does_not_matter(
+def test_list_is_decoded_whatever_its_whitespace_and_key_order(
     write: Callable[[dict[str, Any]], str], kind: type[bytes] | type[bytearray]
 ) -> None:
     rows = [
@@ -64,7 +64,7 @@
     ]
     source = {"version": 43, "full": False, "servers": rows}
     found = decode(kind(write(source).encode()))
-    assert (found.version, found.full) == (43, False)
+    assert (found.version, found.is_full) == (43, False)
     assert [(b.id, b.zone, b.kind, b.cell, b.readiness, b.weight, b.started) for b in found.backends] == [
         ("s1", "a", "m", 1, Readiness.READY, 1.0, 1_700_000_000.5),
         ("s2", "a", "m", 1, Readiness.DRAINING, 1.0, 0.0),
@@ -72,7 +72,7 @@
     assert dict(found.addresses) == {"s1": LOCAL_ADDRESS, "s2": LOCAL_ADDRESS}
 
 
-def test_optional_fields_of_an_entry() -> None:
+def test_optional_fields_of_an_entry_have_defaults() -> None:
     found = decode(
         b'{"servers":[{"id":"s1","addr":"127.0.0.1:6379","state":"ready"},'
         b'{"id":"s2","addr":"127.0.0.1:6379","state":"gone","weight":2,"started_ms":null}],"version":4}'
@@ -81,11 +81,11 @@
     assert (first.zone, first.kind, first.cell, first.weight, first.started) == ("", "", 0, 1.0, 0.0)
     assert (second.readiness, second.weight, second.started) == (Readiness.REMOVED, 2.0, 0.0)
     assert isinstance(second.weight, float)
-    assert not found.full
+    assert not found.is_full
 
 
 @pytest.mark.parametrize("change", MALFORMED_ENTRY_FIELDS)
-def test_a_malformed_entry_of_an_answer_is_skipped_and_logged(
+def test_malformed_entry_of_an_answer_is_skipped_and_logged(
     change: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
     rows = [entry(LOCAL_ADDRESS) | change, entry(LOCAL_ADDRESS, "s2"), 5, None, [], "s3"]
@@ -98,7 +98,7 @@
 
 
 @pytest.mark.parametrize("key", ["id", "addr", "state"])
-def test_an_entry_without_a_required_field_is_skipped(key: str) -> None:
+def test_entry_without_a_required_field_is_skipped(key: str) -> None:
     row = entry(LOCAL_ADDRESS)
     del row[key]
     assert not decode(json.dumps({"version": 1, "servers": [row]}).encode()).backends
@@ -125,88 +125,90 @@
         b'{"version":1,"full":"no","servers":[]}',
     ],
 )
-def test_an_invalid_answer_raises_an_error(body: bytes) -> None:
+def test_invalid_answer_raises_an_error(body: bytes) -> None:
     with pytest.raises(InvalidEndpointListError):
         decode(body)
 
 
-def test_many_malformed_entries_do_not_fill_the_log(caplog: pytest.LogCaptureFixture) -> None:
+def test_log_lines_of_malformed_entries_are_limited(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.WARNING):
-        found = decode(whole_list(2_000, addr="nowhere"))
+        found = decode(full_list_body(2_000, addr="nowhere"))
     assert not found.backends
     assert len(caplog.records) == MAX_LOGGED_ENTRIES + 1
     assert "entries skipped version=41 count=2000" in caplog.records[-1].getMessage()
 
 
-def test_entries_share_equal_values() -> None:
-    rows = decode(whole_list(600, zone="hall-a-1", kind="m-2")).backends
+def test_equal_values_of_entries_share_one_object() -> None:
+    rows = decode(full_list_body(600, zone="hall-a-1", kind="m-2")).backends
     for name in ("zone", "kind", "weight", "started"):
         assert len({id(getattr(row, name)) for row in rows}) == 1
 
 
-def test_the_event_loop_turns_while_a_long_list_is_decoded() -> None:
+def test_event_loop_runs_while_a_long_list_is_decoded() -> None:
     async def body() -> None:
-        turns = 0
-        slices = 10
-        text = whole_list(slices * ENTRIES_PER_SLICE)
-        reading = asyncio.create_task(decode_endpoint_list(text))
-        while not reading.done():
+        loop_iterations = 0
+        slice_count = 10
+        body_bytes = full_list_body(slice_count * ENTRIES_PER_SLICE)
+        decode_task = asyncio.create_task(decode_endpoint_list(body_bytes))
+        while not decode_task.done():
             await asyncio.sleep(0)
-            turns += 1
-        assert len(reading.result().backends) == slices * ENTRIES_PER_SLICE
-        assert turns >= slices
+            loop_iterations += 1
+        assert len(decode_task.result().backends) == slice_count * ENTRIES_PER_SLICE
+        assert loop_iterations >= slice_count
 
     run(body())
 
 
 class LongListAgent:
-    """Answers the first call with a long list and leaves all others unanswered."""
+    """An agent that answers the first call with a long list and no other call."""
 
     def __init__(self) -> None:
-        self.asked = 0
+        self.call_count = 0
 
     @asynccontextmanager
-    async def connect(self, _: tuple[str, int]) -> AsyncIterator[DiscoveryClient]:
+    async def open_client(self, _: tuple[str, int]) -> AsyncIterator[DiscoveryClient]:
         yield self
 
-    async def get(self, query: str, timeout: float, max_body_bytes: int) -> bytes:
-        self.asked += 1
-        if self.asked > 1:
+    async def fetch(self, query: str, timeout_s: float, max_body_bytes: int) -> bytes:
+        self.call_count += 1
+        if self.call_count > 1:
             await asyncio.Event().wait()
-        return whole_list(4 * ENTRIES_PER_SLICE)
+        return full_list_body(4 * ENTRIES_PER_SLICE)
 
 
-def test_a_watch_that_ends_in_the_middle_of_a_list_applies_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
-    """As on SIGHUP: the list of the old discovery must not come after the new one's."""
+def test_watch_cancelled_while_decoding_a_list_applies_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
+    """After a SIGHUP, a list from the previous agent must not replace the list of the new one."""
 
     async def body() -> None:
         updates: list[EndpointList] = []
-        decoded_slices: list[int] = []
+        decoded_slice_sizes: list[int] = []
         decoding = asyncio.Event()
         add = EndpointListBuilder.add
 
-        def counted(builder: EndpointListBuilder, rows: list[Any], decode: Callable[[Any], Any]) -> None:
-            decoded_slices.append(len(rows))
+        def add_and_count(
+            builder: EndpointListBuilder, rows: list[Any], decode: Callable[[Any], Any]
+        ) -> None:
+            decoded_slice_sizes.append(len(rows))
             decoding.set()
             add(builder, rows, decode)
 
-        monkeypatch.setattr(EndpointListBuilder, "add", counted)
+        monkeypatch.setattr(EndpointListBuilder, "add", add_and_count)
         agent = LongListAgent()
         watch = EndpointWatch(
-            LOCAL_ADDRESS, lambda _, found: updates.append(found), Random(1), connect=agent.connect
+            LOCAL_ADDRESS, lambda _, found: updates.append(found), Random(1), open_client=agent.open_client
         )
         async with running_watch(watch):
-            await decoding.wait()  # wakes in the turns between the slices
-            assert 0 < len(decoded_slices) < 4
+            await decoding.wait()  # the event loop resumes this test between two slices
+            assert 0 < len(decoded_slice_sizes) < 4
         assert not updates
         assert watch.version is None
-        assert agent.asked == 1
+        assert agent.call_count == 1
 
     run(body())
 
 
-async def first_update(peer: Peer, max_body_bytes: int) -> EndpointList:
-    """The first list that a watch on this agent passes on."""
+async def receive_first_list(peer: Peer, max_body_bytes: int) -> EndpointList:
+    """Return the first list that a watch on this agent reports."""
     updates: list[EndpointList] = []
     watch = EndpointWatch(
         peer.address, lambda _, found: updates.append(found), Random(1), max_body_bytes=max_body_bytes
@@ -216,25 +218,25 @@
     return updates[0]
 
 
-def test_a_list_of_sixty_thousand_backends_is_accepted() -> None:
-    text = whole_list(60_000)
-    assert len(text) > 4 * 1024 * 1024
+def test_list_of_sixty_thousand_backends_is_accepted() -> None:
+    body_bytes = full_list_body(60_000)
+    assert len(body_bytes) > 4 * 1024 * 1024
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(http_answer(text))
+        writer.write(http_answer(body_bytes))
         await reader.read()
 
     async def body() -> None:
         async with Peer(script) as peer:
-            found = await first_update(peer, max_body_bytes(config().max_buffered_bytes))
+            found = await receive_first_list(peer, max_body_bytes(config().max_buffered_bytes))
         assert len(found.backends) == len(found.addresses) == 60_000
 
     run(body())
 
 
 @pytest.mark.parametrize("head", [b"Content-Length: 1000000000", b"Transfer-Encoding: chunked"])
-def test_a_list_that_is_too_long_is_dropped_and_logged(
+def test_list_beyond_the_size_limit_is_dropped_and_logged(
     head: bytes, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(watch_module, "DEFAULT_MAX_BODY_BYTES", 100_000)
@@ -245,7 +247,7 @@
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while await reader.readuntil(b"\r\n\r\n"):
             if number:
-                writer.write(http_answer(whole_list(1)))
+                writer.write(http_answer(full_list_body(1)))
                 continue
             writer.write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n")
             while True:
@@ -254,7 +256,7 @@
 
     async def body() -> None:
         async with Peer(script) as peer:
-            found = await asyncio.wait_for(first_update(peer, 0), 2.0)  # before the call times out
+            found = await asyncio.wait_for(receive_first_list(peer, 0), 2.0)  # before the call times out
         assert len(found.backends) == 1
 
     with caplog.at_level(logging.WARNING):
@@ -262,11 +264,11 @@
     assert "too long: more than the 100000 bytes that limits.memory_mb allows" in caplog.text
 
 
-def test_the_size_limit_of_a_list_follows_the_memory_limit() -> None:
-    def allowed(memory_mb: int) -> int:
+def test_size_limit_of_a_list_follows_the_memory_limit() -> None:
+    def compute_limit(memory_mb: int) -> int:
         limits = {"cores": 1.0, "memory_mb": memory_mb, "sockets": 1024}
         return max_body_bytes(config(limits=limits).max_buffered_bytes)
 
-    assert allowed(64) < allowed(192) < allowed(384)
-    assert all(allowed(memory_mb) * 12 < memory_mb * 1024 * 1024 for memory_mb in (64, 192, 384, 2_048))
-    assert allowed(2_048) == allowed(16_384) == 250_000 * 130
+    assert compute_limit(64) < compute_limit(192) < compute_limit(384)
+    assert all(compute_limit(memory_mb) * 12 < memory_mb * 1024 * 1024 for memory_mb in (64, 192, 384, 2_048))
+    assert compute_limit(2_048) == compute_limit(16_384) == 250_000 * 130
--- a/tests/discovery/test_http_client.py
+++ b/tests/discovery/test_http_client.py
@@ -1,4 +1,4 @@
-"""Calls to the discovery agent over HTTP/1.1, against scripted agents."""
+"""Tests of calls to the discovery agent over HTTP/1.1, against scripted agents."""
 
 from __future__ import annotations
 
@@ -22,38 +22,38 @@
 LONG_TIMEOUT_S = 10.0
 
 
-async def request_head(reader: Reader) -> bytes:
+async def read_request_head(reader: Reader) -> bytes:
     return await reader.readuntil(b"\r\n\r\n")
 
 
-def agent_answering(*answers: bytes) -> Peer:
-    """Sends one of the answers for each call, the last one again and again, on any connection."""
-    left = list(answers)
+def make_agent(*answers: bytes) -> Peer:
+    """Make an agent that sends the answers in turn, one for each call, and repeats the last one."""
+    remaining_answers = list(answers)
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
-            await request_head(reader)
-            writer.write(left.pop(0) if len(left) > 1 else left[0])
+            await read_request_head(reader)
+            writer.write(remaining_answers.pop(0) if len(remaining_answers) > 1 else remaining_answers[0])
 
     return Peer(script)
 
 
-async def get(client: HttpDiscoveryClient, timeout: float = LONG_TIMEOUT_S) -> bytes:
-    return bytes(await client.get("?after=1", timeout, MAX_BODY_BYTES))
+async def fetch(client: HttpDiscoveryClient, timeout_s: float = LONG_TIMEOUT_S) -> bytes:
+    return bytes(await client.fetch("?after=1", timeout_s, MAX_BODY_BYTES))
 
 
-def test_a_call_sends_path_query_and_host() -> None:
+def test_call_sends_path_query_and_host() -> None:
     async def body() -> None:
         heads: list[bytes] = []
 
         async def script(_: int, reader: Reader, writer: Writer) -> None:
-            heads.append(await request_head(reader))
+            heads.append(await read_request_head(reader))
             writer.write(http_answer(BODY))
             await reader.read()
 
         async with Peer(script) as peer:
             client = HttpDiscoveryClient(peer.address)
-            assert await get(client) == BODY
+            assert await fetch(client) == BODY
             client.close()
             lines = heads[0].lower().split(b"\r\n")
             assert lines[0] == b"get /api/targets?after=1 http/1.1"
@@ -62,11 +62,11 @@
     run(body())
 
 
-def test_the_connection_is_reused() -> None:
+def test_connection_is_reused() -> None:
     async def body() -> None:
-        async with agent_answering(http_answer(BODY)) as peer:
+        async with make_agent(http_answer(BODY)) as peer:
             client = HttpDiscoveryClient(peer.address)
-            assert [await get(client) for _ in range(3)] == [BODY] * 3
+            assert [await fetch(client) for _ in range(3)] == [BODY] * 3
             assert peer.connections == 1
             client.close()
             await until(lambda: peer.ended == 1)
@@ -88,33 +88,33 @@
     ],
 )
 @pytest.mark.parametrize("piece", [1, 7, 10_000])
-def test_an_answer_may_come_in_pieces(complete: bytes, piece: int) -> None:
+def test_answer_may_arrive_in_pieces(complete: bytes, piece: int) -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             while True:
-                await request_head(reader)
-                for at in range(0, len(complete), piece):
-                    writer.write(complete[at : at + piece])
+                await read_request_head(reader)
+                for start in range(0, len(complete), piece):
+                    writer.write(complete[start : start + piece])
                     await asyncio.sleep(0)
 
         async with Peer(script) as peer:
             client = HttpDiscoveryClient(peer.address)
-            assert [await get(client) for _ in range(2)] == [BODY] * 2
+            assert [await fetch(client) for _ in range(2)] == [BODY] * 2
             assert peer.connections == 1
             client.close()
 
     run(body())
 
 
-def test_an_answer_without_a_length_ends_with_its_connection() -> None:
+def test_answer_without_a_length_ends_with_its_connection() -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
-            await request_head(reader)
+            await read_request_head(reader)
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + BODY)
 
         async with Peer(script) as peer:
             client = HttpDiscoveryClient(peer.address)
-            assert [await get(client) for _ in range(2)] == [BODY] * 2
+            assert [await fetch(client) for _ in range(2)] == [BODY] * 2
             assert peer.connections == 2
 
     run(body())
@@ -129,17 +129,17 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n" + BODY[:4],
     ],
 )
-def test_a_reset_does_not_end_an_answer(begun: bytes) -> None:
+def test_reset_does_not_end_an_answer(begun: bytes) -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
-            await request_head(reader)
+            await read_request_head(reader)
             writer.write(begun)
-            await asyncio.sleep(0.01)  # what was begun is read before the reset
+            await asyncio.sleep(0.01)  # the client reads the first bytes before the reset
             reset(writer)
 
         async with Peer(script) as peer:
             with pytest.raises(DiscoveryUnavailableError):
-                await get(HttpDiscoveryClient(peer.address))
+                await fetch(HttpDiscoveryClient(peer.address))
 
     run(body())
 
@@ -156,15 +156,15 @@
         b"",
     ],
 )
-def test_a_truncated_or_malformed_answer_is_unavailable(broken: bytes) -> None:
+def test_truncated_or_malformed_answer_raises_unavailable(broken: bytes) -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
-            await request_head(reader)
+            await read_request_head(reader)
             writer.write(broken)
 
         async with Peer(script) as peer:
             with pytest.raises(DiscoveryUnavailableError):
-                await get(HttpDiscoveryClient(peer.address))
+                await fetch(HttpDiscoveryClient(peer.address))
 
     run(body())
 
@@ -178,42 +178,40 @@
         b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * (MAX_BODY_BYTES + 1),
     ],
 )
-def test_an_answer_beyond_the_size_limit_is_dropped(too_long: bytes) -> None:
+def test_answer_beyond_the_size_limit_is_dropped(too_long: bytes) -> None:
     async def body() -> None:
-        async with agent_answering(too_long, http_answer(BODY)) as peer:
+        async with make_agent(too_long, http_answer(BODY)) as peer:
             client = HttpDiscoveryClient(peer.address)
             with pytest.raises(InvalidEndpointListError, match="too long"):
-                await get(client)
-            assert await get(client) == BODY
+                await fetch(client)
+            assert await fetch(client) == BODY
             assert peer.connections == 2
             client.close()
 
     run(body())
 
 
-def test_a_rejected_call_raises_its_own_error_and_keeps_the_connection() -> None:
+def test_rejected_call_raises_its_own_error_and_keeps_the_connection() -> None:
     async def body() -> None:
-        async with agent_answering(
-            http_answer(b"later", b"503 Service Unavailable"), http_answer(BODY)
-        ) as peer:
+        async with make_agent(http_answer(b"later", b"503 Service Unavailable"), http_answer(BODY)) as peer:
             client = HttpDiscoveryClient(peer.address)
             with pytest.raises(DiscoveryRejectedError, match="503"):
-                await get(client)
-            assert await get(client) == BODY
+                await fetch(client)
+            assert await fetch(client) == BODY
             assert peer.connections == 1
             client.close()
 
     run(body())
 
 
-def test_a_rejected_call_does_not_wait_for_the_rest_of_its_answer() -> None:
+def test_rejected_call_does_not_wait_for_the_rest_of_its_answer() -> None:
     async def body() -> None:
         refusal = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 10\r\n\r\nno"
-        async with agent_answering(refusal, http_answer(BODY)) as peer:
+        async with make_agent(refusal, http_answer(BODY)) as peer:
             client = HttpDiscoveryClient(peer.address)
             with pytest.raises(DiscoveryRejectedError):
-                await get(client)
-            assert await get(client) == BODY
+                await fetch(client)
+            assert await fetch(client) == BODY
             assert peer.connections == 2
             client.close()
 
@@ -221,12 +219,12 @@
 
 
 @pytest.mark.parametrize("with_reset", [False, True])
-def test_a_kept_connection_that_the_agent_ended_is_replaced(with_reset: bool) -> None:
+def test_kept_connection_closed_by_the_agent_is_replaced(with_reset: bool) -> None:
     async def body() -> None:
         answered = asyncio.Event()
 
         async def script(number: int, reader: Reader, writer: Writer) -> None:
-            await request_head(reader)
+            await read_request_head(reader)
             writer.write(http_answer(BODY))
             if number == 0:
                 await answered.wait()
@@ -237,29 +235,29 @@
 
         async with Peer(script) as peer:
             client = HttpDiscoveryClient(peer.address)
-            assert await get(client) == BODY
+            assert await fetch(client) == BODY
             answered.set()
             await until(lambda: peer.ended == 1)
-            assert await get(client) == BODY
+            assert await fetch(client) == BODY
             assert peer.connections == 2
             client.close()
 
     run(body())
 
 
-def test_a_kept_connection_that_ends_during_a_call_is_replaced_once() -> None:
+def test_kept_connection_that_ends_during_a_call_is_replaced_once() -> None:
     async def body() -> None:
         async def script(number: int, reader: Reader, writer: Writer) -> None:
-            await request_head(reader)
+            await read_request_head(reader)
             if number == 0:
                 writer.write(http_answer(BODY))
-                await request_head(reader)
+                await read_request_head(reader)
 
         async with Peer(script) as peer:
             client = HttpDiscoveryClient(peer.address)
-            assert await get(client) == BODY
+            assert await fetch(client) == BODY
             with pytest.raises(DiscoveryUnavailableError):
-                await get(client)
+                await fetch(client)
             assert peer.connections == 2
 
     run(body())
@@ -267,35 +265,35 @@
 
 def test_data_after_an_answer_is_not_taken_for_the_next_answer() -> None:
     async def body() -> None:
-        async with agent_answering(http_answer(BODY) + http_answer(b"noise"), http_answer(b"second")) as peer:
+        async with make_agent(http_answer(BODY) + http_answer(b"noise"), http_answer(b"second")) as peer:
             client = HttpDiscoveryClient(peer.address)
-            assert await get(client) == BODY
-            assert await get(client) == b"second"
+            assert await fetch(client) == BODY
+            assert await fetch(client) == b"second"
             client.close()
 
     run(body())
 
 
-def test_a_call_that_times_out_ends_its_connection() -> None:
+def test_call_that_times_out_closes_its_connection() -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             await reader.read()
 
         async with Peer(script) as peer:
             with pytest.raises(DiscoveryTimeoutError):
-                await get(HttpDiscoveryClient(peer.address), SHORT_TIMEOUT_S)
+                await fetch(HttpDiscoveryClient(peer.address), SHORT_TIMEOUT_S)
             await until(lambda: peer.ended == 1)
 
     run(body())
 
 
-def test_a_call_that_is_cancelled_ends_its_connection() -> None:
+def test_cancelled_call_closes_its_connection() -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             await reader.read()
 
         async with Peer(script) as peer:
-            call = asyncio.ensure_future(get(HttpDiscoveryClient(peer.address)))
+            call = asyncio.ensure_future(fetch(HttpDiscoveryClient(peer.address)))
             await until(lambda: peer.connections == 1)
             call.cancel()
             with pytest.raises(asyncio.CancelledError):
@@ -305,11 +303,11 @@
     run(body())
 
 
-def test_an_agent_that_refuses_connections_is_unavailable() -> None:
+def test_refused_connection_raises_unavailable() -> None:
     async def body() -> None:
-        async with agent_answering(http_answer(BODY)) as peer:
+        async with make_agent(http_answer(BODY)) as peer:
             address = peer.address
         with pytest.raises(DiscoveryUnavailableError):
-            await get(HttpDiscoveryClient(address))
+            await fetch(HttpDiscoveryClient(address))
 
     run(body())
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""The watch: complete lists, changes, versions that are counted anew, and an agent that fails."""
+"""Tests of the watch: full lists, changes, restarted versions, and agents that fail."""
 
 from __future__ import annotations
 
@@ -26,27 +26,27 @@
 )
 from tests.support.peers import Peer, Reader, Writer, entry, run, until
 
-COMPLETE = "/api/targets"
-WATCH = f"/api/targets?after=%d&wait_ms={WATCH_WAIT_MS}"
-RETRY = f"/api/targets?after=%d&wait_ms={RETRY_WAIT_MS}"
+FULL_LIST_TARGET = "/api/targets"
+LONG_POLL_TARGET = f"/api/targets?after=%d&wait_ms={WATCH_WAIT_MS}"
+RETRY_TARGET = f"/api/targets?after=%d&wait_ms={RETRY_WAIT_MS}"
 SHORT_TIMEOUTS = WatchTiming(watch_grace_s=0.05, poll_timeout_s=0.05, max_backoff_s=1.0, watch_wait_ms=10)
 
 
-async def watch(
-    agent: ScriptedAgent, calls: int, version: int | None = None, timing: WatchTiming = POLLED_TIMING
+async def collect_updates(
+    agent: ScriptedAgent, call_count: int, version: int | None = None, timing: WatchTiming = POLLED_TIMING
 ) -> list[tuple[EndpointUpdateKind, EndpointList]]:
-    """The updates until the agent was asked so many times."""
+    """Run a watch until the agent got `call_count` calls, and return the updates that it reported."""
     updates: list[tuple[EndpointUpdateKind, EndpointList]] = []
     async with agent.peer:
         endpoint_watch = EndpointWatch(
             agent.peer.address, lambda kind, found: updates.append((kind, found)), Random(1), version, timing
         )
         async with running_watch(endpoint_watch):
-            await until(lambda: len(agent.asked) >= calls)
+            await until(lambda: len(agent.asked) >= call_count)
     return updates
 
 
-def test_a_complete_list_and_then_changes() -> None:
+def test_full_list_is_followed_by_changes() -> None:
     async def body() -> None:
         agent = ScriptedAgent(
             list_body(
@@ -59,8 +59,14 @@
             list_body(44, False),
             list_body(50, True, entry(LOCAL_ADDRESS)),
         )
-        updates = await watch(agent, 5)
-        assert agent.asked == [COMPLETE, WATCH % 41, WATCH % 43, WATCH % 44, WATCH % 50]
+        updates = await collect_updates(agent, 5)
+        assert agent.asked == [
+            FULL_LIST_TARGET,
+            LONG_POLL_TARGET % 41,
+            LONG_POLL_TARGET % 43,
+            LONG_POLL_TARGET % 44,
+            LONG_POLL_TARGET % 50,
+        ]
         assert [kind for kind, _ in updates] == [
             EndpointUpdateKind.REPLACE,
             EndpointUpdateKind.UPDATE,
@@ -73,22 +79,27 @@
     run(body())
 
 
-def test_versions_counted_anew_bring_the_complete_list() -> None:
+def test_full_list_is_fetched_after_the_agent_restarts_its_versions() -> None:
     async def body() -> None:
         agent = ScriptedAgent(
             list_body(41, True, entry(LOCAL_ADDRESS)),
             list_body(3, False, entry(LOCAL_ADDRESS, "s9")),
             list_body(3, True, entry(LOCAL_ADDRESS, "s9")),
         )
-        updates = await watch(agent, 4)
-        assert agent.asked == [COMPLETE, WATCH % 41, COMPLETE, WATCH % 3]
+        updates = await collect_updates(agent, 4)
+        assert agent.asked == [
+            FULL_LIST_TARGET,
+            LONG_POLL_TARGET % 41,
+            FULL_LIST_TARGET,
+            LONG_POLL_TARGET % 3,
+        ]
         assert [[b.id for b in found.backends] for _, found in updates] == [["s1"], ["s9"]]
 
     run(body())
 
 
 @pytest.mark.parametrize("broken", [b"", b"{", b"[]", b'{"version":1}', b'{"version":"x","servers":[]}'])
-def test_an_agent_that_fails_is_asked_again_and_the_list_kept(broken: bytes) -> None:
+def test_failed_call_is_retried_and_the_list_is_kept(broken: bytes) -> None:
     async def body() -> None:
         agent = ScriptedAgent(
             list_body(41, True, entry(LOCAL_ADDRESS)),
@@ -96,29 +107,30 @@
             broken,
             list_body(42, True, entry(LOCAL_ADDRESS)),
         )
-        updates = await watch(agent, 5)
-        assert agent.asked[:2] == [COMPLETE, WATCH % 41]
-        assert agent.asked[-1] == WATCH % 42
-        asked_for_all = COMPLETE in agent.asked[2:]
-        assert asked_for_all is bool(broken)  # an invalid answer, unlike none, puts the list held in doubt
+        updates = await collect_updates(agent, 5)
+        assert agent.asked[:2] == [FULL_LIST_TARGET, LONG_POLL_TARGET % 41]
+        assert agent.asked[-1] == LONG_POLL_TARGET % 42
+        fetches_full_list = FULL_LIST_TARGET in agent.asked[2:]
+        # Only an invalid answer, and not a missing one, suggests that the held list is wrong.
+        assert fetches_full_list is bool(broken)
         assert [found.version for _, found in updates] == [41, 42]
 
     run(body())
 
 
-def test_a_silent_agent_is_not_waited_for_without_end() -> None:
+def test_unanswered_call_times_out_and_is_retried() -> None:
     async def body() -> None:
         agent = ScriptedAgent(
             None, list_body(1, True, entry(LOCAL_ADDRESS)), None, list_body(2, True, entry(LOCAL_ADDRESS))
         )
-        updates = await watch(agent, 5, timing=SHORT_TIMEOUTS)
+        updates = await collect_updates(agent, 5, timing=SHORT_TIMEOUTS)
         assert [found.version for _, found in updates] == [1, 2]
 
     run(body())
 
 
-def test_a_watch_that_fell_silent_is_noticed() -> None:
-    """A change that the agent sends on a new call is not held up until a long watch is over."""
+def test_unanswered_long_poll_is_replaced_by_a_call_on_a_new_connection() -> None:
+    """A watch whose long poll stays unanswered times out and gets the change with another call."""
     assert POLLED_TIMING.watch_timeout_s < 4.0
 
     async def body() -> None:
@@ -126,7 +138,7 @@
         agent = ScriptedAgent(
             list_body(1, True, entry(LOCAL_ADDRESS)), None, list_body(2, False, entry(LOCAL_ADDRESS, "s2"))
         )
-        updates = await watch(agent, 4, timing=timing)
+        updates = await collect_updates(agent, 4, timing=timing)
         assert [found.version for _, found in updates] == [1, 2]
         assert "after=1&" in agent.asked[2]
         assert agent.peer.connections == 2
@@ -134,9 +146,9 @@
     run(body())
 
 
-def test_where_lists_are_pushed_silence_is_noticed_in_time() -> None:
-    """Some calls in a row may stay silent before the changes that they miss count as notified."""
-    assert 3 * (PUSHED_TIMING.watch_timeout_s + PUSHED_TIMING.max_backoff_s) < 6.0  # open watches
+def test_unanswered_calls_to_a_pushing_agent_time_out_before_the_notification() -> None:
+    """Three consecutive calls may stay unanswered before the changes that they miss count as notified."""
+    assert 3 * (PUSHED_TIMING.watch_timeout_s + PUSHED_TIMING.max_backoff_s) < 6.0  # long polls
     assert 3 * (PUSHED_TIMING.poll_timeout_s + PUSHED_TIMING.max_backoff_s) < 4.0  # after SIGHUP
 
     async def body() -> None:
@@ -149,13 +161,13 @@
             None,
             list_body(2, False, entry(LOCAL_ADDRESS)),
         )
-        updates = await asyncio.wait_for(watch(agent, 7, timing=timing), 2.0)
+        updates = await asyncio.wait_for(collect_updates(agent, 7, timing=timing), 2.0)
         assert [found.version for _, found in updates] == [1, 2]
 
     run(body())
 
 
-def test_a_list_without_end_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_endless_list_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_module, "DEFAULT_MAX_BODY_BYTES", 100_000)
 
     async def endless(number: int, reader: Reader, writer: Writer) -> None:
@@ -178,16 +190,19 @@
     run(body())
 
 
-def test_the_watch_outlives_a_fault_in_the_callback() -> None:
+def test_watch_continues_after_an_exception_in_the_callback() -> None:
     async def body() -> None:
         agent = ScriptedAgent(
             list_body(1, True, entry(LOCAL_ADDRESS)), list_body(2, True, entry(LOCAL_ADDRESS))
         )
 
-        def fail(kind: EndpointUpdateKind, found: EndpointList) -> None:
+        def raise_error(kind: EndpointUpdateKind, found: EndpointList) -> None:
             raise RuntimeError("a fault")
 
-        async with agent.peer, running_watch(EndpointWatch(agent.peer.address, fail, Random(1))) as task:
+        async with (
+            agent.peer,
+            running_watch(EndpointWatch(agent.peer.address, raise_error, Random(1))) as task,
+        ):
             await until(lambda: len(agent.asked) >= 3)
             assert not task.done()
 
@@ -195,7 +210,7 @@
 
 
 @pytest.mark.parametrize("change", MALFORMED_ENTRY_FIELDS)
-def test_a_malformed_entry_of_a_parsed_list_is_skipped_and_logged(
+def test_malformed_entry_of_a_parsed_list_is_skipped_and_logged(
     change: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
     rows = [entry(LOCAL_ADDRESS) | change, entry(LOCAL_ADDRESS, "s2"), 5]
@@ -205,8 +220,8 @@
     assert len(caplog.records) == 2
 
 
-def test_a_rejected_call_is_no_reason_to_ask_for_the_complete_list() -> None:
-    """Forty complete lists a second from a fleet of rejected gateways kept discovery overloaded for good."""
+def test_rejected_call_is_not_followed_by_a_call_for_the_full_list() -> None:
+    """Forty full lists a second for a fleet of rejected gateways kept discovery permanently overloaded."""
 
     async def body() -> None:
         agent = ScriptedAgent(
@@ -214,18 +229,23 @@
             REJECTION,
             list_body(42, False, entry(LOCAL_ADDRESS, "s2")),
         )
-        updates = await watch(agent, 4)
-        assert agent.asked == [COMPLETE, WATCH % 41, RETRY % 41, WATCH % 42]
+        updates = await collect_updates(agent, 4)
+        assert agent.asked == [
+            FULL_LIST_TARGET,
+            LONG_POLL_TARGET % 41,
+            RETRY_TARGET % 41,
+            LONG_POLL_TARGET % 42,
+        ]
         assert [found.version for _, found in updates] == [41, 42]
 
     run(body())
 
 
-def test_a_list_that_is_held_already_is_only_updated() -> None:
+def test_watch_with_a_held_list_fetches_changes_only() -> None:
     async def body() -> None:
         agent = ScriptedAgent(list_body(8, False, entry(LOCAL_ADDRESS, "s2")))
-        updates = await watch(agent, 2, version=7)
-        assert agent.asked == [WATCH % 7, WATCH % 8]
+        updates = await collect_updates(agent, 2, version=7)
+        assert agent.asked == [LONG_POLL_TARGET % 7, LONG_POLL_TARGET % 8]
         assert [kind for kind, _ in updates] == [EndpointUpdateKind.UPDATE]
 
     run(body())
