--- a/ingress/discovery/endpoint_entry.py
+++ b/ingress/discovery/endpoint_entry.py
@@ -42,7 +42,7 @@
     if not entry.id:
         raise ValueError("id: empty")
     if entry.state not in READINESS_BY_STATE:
-        raise ValueError(f"state: unknown value {entry.state!r}")
+        raise ValueError(f"state: {entry.state!r} is unknown")
     if not 0 <= (entry.started_ms or 0) < STARTED_MS_LIMIT or not 0 <= entry.weight < WEIGHT_LIMIT:
         raise ValueError("started_ms or weight is out of range")
     return address
--- a/ingress/discovery/endpoint_list.py
+++ b/ingress/discovery/endpoint_list.py
@@ -55,7 +55,7 @@
 
 
 def max_body_bytes(max_buffered_bytes: int) -> int:
-    """Return how many bytes an answer may have, if one kind of buffer may hold `max_buffered_bytes`."""
+    """Return how many bytes an answer may have if `max_buffered_bytes` may be buffered for one purpose."""
     return min(MAX_ENTRIES * ENTRY_BYTES, int(max_buffered_bytes * MAX_BODY_SHARE))
 
 
@@ -93,7 +93,7 @@
 
 
 class EndpointListBuilder:
-    """Collect the valid entries of one endpoint list."""
+    """A builder that collects the valid entries of one endpoint list."""
 
     def __init__(self, version: int) -> None:
         self._version = version
--- a/ingress/discovery/http_client.py
+++ b/ingress/discovery/http_client.py
@@ -68,9 +68,9 @@
             raise DiscoveryUnavailableError(reason) from None
         finally:
             if connection is not None:
-                self._keep_or_close(connection)
+                self._keep_or_close_connection(connection)
 
-    def _keep_or_close(self, connection: HttpConnection) -> None:
+    def _keep_or_close_connection(self, connection: HttpConnection) -> None:
         if connection.prepare_reuse():
             self._connection = connection
         else:
--- a/ingress/discovery/watch.py
+++ b/ingress/discovery/watch.py
@@ -87,7 +87,7 @@
         # list held here.
         if not update.is_full and (self.version is None or update.version < self.version):
             raise InvalidEndpointListError(
-                f"changes of version {update.version} do not apply to version {self.version}"
+                f"changes of version {update.version} do not follow version {self.version}"
             )
         self.version = update.version
         if update.is_full:
--- a/ingress/upstream/connection.py
+++ b/ingress/upstream/connection.py
@@ -172,7 +172,7 @@
     def _check_buffer_budget(self) -> None:
         if self.owner.reply_buffer.is_exceeded():
             # Large values that arrive on many connections at once must not exhaust this process's memory.
-            raise FrameError("incomplete replies exceed their buffer limit")
+            raise FrameError("incomplete replies exceed the memory limit for them")
 
     def _clear_buffer(self) -> None:
         self.owner.reply_buffer.used_bytes -= len(self.buffer)
--- a/ingress/upstream/idle.py
+++ b/ingress/upstream/idle.py
@@ -13,7 +13,7 @@
 
 
 class IdleConnections:
-    """Selects idle connections of the endpoints for reuse, and closes the others in time."""
+    """The idle connections of a pool's endpoints, which are reused or closed in time."""
 
     def __init__(self, endpoints: EndpointTable, backend_idle_timeout_s: float) -> None:
         """Keep idle connections for a share of `backend_idle_timeout_s`, after which backends close them."""
