--- a/ingress/interface/__init__.py
+++ b/ingress/interface/__init__.py
@@ -1,7 +1,8 @@
-"""What the decision module and its hosts exchange: settings, endpoints, events and actions, as plain data.
+"""The interface between the decision module and its hosts: settings, endpoints, events and actions.
 
-A host (the real ingress, the simulator's adapter, the scale tool) hands events to a `Gateway` and carries
-out the actions that it returns.  Times are seconds, rates are units per second; nothing here decides.
+A host (the real ingress, the simulator's adapter or the scale tool) passes events to a `Gateway` and carries
+out the actions that it returns.  All of these are plain data; this package contains no decision logic.  Times
+and durations are in seconds, rates in units per second.
 """
 
 from ingress.interface.actions import (
--- a/ingress/interface/actions.py
+++ b/ingress/interface/actions.py
@@ -1,4 +1,4 @@
-"""The actions that the decision module returns, for its host to carry out."""
+"""The actions that the decision module returns and its host carries out."""
 
 from __future__ import annotations
 
@@ -11,50 +11,62 @@
     """Forward a request to a backend."""
 
     id: str
+    """The request's id."""
     backend: str
+    """Id of the backend."""
     timeout: float = 0.0
-    """Seconds after which the attempt is given up; 0: at the client's deadline."""
+    """Seconds after which the host gives up the attempt; 0: it waits until the client's deadline."""
     write_within: float = 0.0
-    """Seconds within which it has to be written, or else not at all; 0: no such limit."""
+    """Seconds within which the host must write the attempt to a connection, or not send it; 0: no limit."""
 
 
 @dataclass(frozen=True, slots=True)
 class CancelAttempt:
-    """Give up an attempt."""
+    """Give up an attempt that is in flight."""
 
     id: str
+    """The request's id."""
     attempt: int
+    """Number of the attempt, from 0."""
 
 
 @dataclass(frozen=True, slots=True)
 class Reject:
-    """The final answer "rejected": it promises that the request had no effect, so a retry does no harm."""
+    """Send the final answer "rejected".
+
+    It guarantees to the client that a retry is safe: the request was not executed, or is idempotent.
+    """
 
     id: str
+    """The request's id."""
     retry_after: float = 0.0
-    """Seconds after which a retry is welcome; 0: unknown."""
+    """Seconds that the client should wait before a retry; 0: unknown."""
 
 
 @dataclass(frozen=True, slots=True)
 class Fail:
-    """The final answer "failed": it promises nothing about the effect."""
+    """Send the final answer "failed", which leaves open whether the request was executed."""
 
     id: str
+    """The request's id."""
 
 
 @dataclass(frozen=True, slots=True)
 class SetTimer:
-    """Hand back a `TimerFired` with the token after `delay` seconds."""
+    """Pass a `TimerFired` event with the same token to the gateway after a delay."""
 
     delay: float
+    """Seconds until the timer fires."""
     token: int
+    """Identifies the timer in its `TimerFired` event."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendHealthCheck:
-    """Check a backend's health."""
+    """Send a health check to a backend."""
 
     backend: str
+    """Id of the backend."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -62,32 +74,37 @@
     """Close the idle connections to a backend."""
 
     backend: str
+    """Id of the backend."""
 
 
 @dataclass(frozen=True, slots=True)
 class SendGossip:
-    """Send a message to other gateways; at most 256 bytes."""
+    """Send a gossip message to one other gateway or to all of them."""
 
     text: str
+    """The message; at most 256 bytes."""
     peer: int | None = None
-    """Index of the gateway that gets it; None: all."""
+    """Index of the gateway that receives the message; None: all other gateways."""
 
 
 @dataclass(frozen=True, slots=True)
 class IncrementCounter:
-    """Add to a number of the shared counter and learn its total."""
+    """Add an amount to a count of the shared counter; the `CounterReply` contains the count's total."""
 
     name: int
+    """Name of the count."""
     add: float
+    """The amount to add."""
     lifetime: float
-    """Seconds after which a number that this call creates is dropped."""
+    """Seconds after which the counter deletes the count, if this call creates it."""
 
 
 @dataclass(frozen=True, slots=True)
 class SubscribeEndpoints:
-    """Begin or end a watch on the endpoint list."""
+    """Begin or end the watch on the endpoint list."""
 
     on: bool = True
+    """Whether the watch begins; False ends it."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -100,6 +117,7 @@
     """Write a line to the log."""
 
     text: str
+    """The line, without its line end."""
 
 
 Action: TypeAlias = (
--- a/ingress/interface/endpoints.py
+++ b/ingress/interface/endpoints.py
@@ -1,4 +1,4 @@
-"""The endpoint list: the backends as discovery describes them."""
+"""The entries of the endpoint list, in which discovery describes the backends."""
 
 from __future__ import annotations
 
@@ -7,25 +7,27 @@
 
 
 class Readiness(Enum):
-    """Whether a backend takes new attempts."""
+    """Whether a backend accepts new attempts."""
 
     READY = "ready"
+    """The backend accepts new attempts."""
     DRAINING = "draining"
-    """It completes what it holds and takes nothing new."""
+    """The backend completes the attempts that it has received and accepts no new ones."""
     REMOVED = "gone"
+    """The backend no longer belongs to the fleet."""
 
 
 class EndpointUpdateKind(Enum):
-    """What an endpoint update holds."""
+    """What the `backends` of an endpoint update contain."""
 
     UPDATE = "update"
     """The entries that changed."""
     REPLACE = "replace"
     """The complete list."""
     RESTORED = "restored"
-    """The complete list as it was last known, at the start of a process."""
+    """The complete list as it was last known before the process started."""
     UNAVAILABLE = "unavailable"
-    """Nothing: the call for the list failed."""
+    """Nothing, because the call to discovery failed."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -33,12 +35,16 @@
     """One entry of the endpoint list."""
 
     id: str
+    """Identifies the backend in events and actions."""
     zone: str = ""
+    """Name of the availability zone."""
     kind: str = ""
+    """Type of the backend, as discovery names it."""
     cell: int = 0
-    """Group of backends that drop each other's repeats."""
+    """Number of the cell: a group of backends that deduplicate requests among each other."""
     readiness: Readiness = Readiness.READY
+    """Whether the backend accepts new attempts."""
     weight: float = 1.0
-    """Capacity beside other backends."""
+    """Capacity relative to the other backends."""
     started: float = 0.0
-    """Unix time in seconds of its last start; 0 if that is long ago."""
+    """Unix time of the backend's last start, in seconds; 0 if that is long ago."""
--- a/ingress/interface/events.py
+++ b/ingress/interface/events.py
@@ -1,4 +1,4 @@
-"""The events that a host hands to the decision module."""
+"""The events that a host passes to the decision module."""
 
 from __future__ import annotations
 
@@ -11,40 +11,41 @@
 
 
 class Outcome(Enum):
-    """How an attempt, a health check or a call to the counter ended."""
+    """How an attempt, a health check or a call to the shared counter ended."""
 
     OK = "ok"
+    """The peer answered without an error."""
     ERROR = "error"
-    """The peer answered with an error; it may have executed the request all the same."""
+    """The peer answered with an error, but may have executed the request."""
     REJECTED = "full"
-    """The peer turned it away unexecuted."""
+    """The peer rejected the request without executing it."""
     TIMEOUT = "timeout"
-    """No answer came in time; the peer may have executed the request or may yet do so."""
+    """No answer came in time; the peer may have executed the request or may still execute it."""
     CONNECT_FAILED = "connect_failed"
-    """There was no connection, or it ended before all of the attempt was written."""
+    """No connection was established, or it closed before the attempt was completely written."""
     RESET = "reset"
-    """The connection ended after all of it was written."""
+    """The connection closed after the attempt was completely written and before the answer came."""
     CANCELLED = "cancelled"
-    """It was given up by this gateway."""
+    """This gateway gave it up."""
     SUPERSEDED = "moot"
-    """It was never sent, as there was no more need or no means to."""
+    """The attempt was not sent: it was no longer needed, or the host had no means to send it in time."""
 
     @property
     def proves_not_executed(self) -> bool:
-        """Whether this outcome proves that the backend did not execute the request."""
+        """Return whether the outcome proves that the backend did not execute the request."""
         return self in (Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.SUPERSEDED)
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointUpdate:
-    """The endpoint list has changed, or could not be fetched."""
+    """The endpoint list has changed or could not be fetched."""
 
     kind: EndpointUpdateKind
-    """What `backends` holds."""
+    """What `backends` contains."""
     backends: tuple[Backend, ...] = ()
-    """The entries that changed, or the complete list."""
+    """The changed entries or the complete list, depending on `kind`."""
     version: int = 0
-    """Version of the list, as discovery numbers it."""
+    """Version number that discovery gave the list."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -52,29 +53,30 @@
     """A client's request has arrived."""
 
     id: str
-    """Identifies the request in later events and actions."""
+    """Identifies the request in later events and in actions."""
     request_class: str
-    """Name of its class in the settings."""
+    """Name of the request's class in the settings."""
     plan: str
-    """Name of its customer's plan in the settings."""
+    """Name of the customer's plan in the settings."""
     customer: str
-    """Whose quota it uses."""
+    """Name of the customer whose quota the request uses."""
     remaining_time: float
-    """Seconds for which the client waits for the answer."""
+    """Seconds that the client still waits for the answer."""
     units: float = 1.0
-    """What it takes from the quota."""
+    """Units of the quota that the request uses."""
     assigned_instances: int = 1
-    """How many gateways the customer's requests come through ..."""
+    """Number of gateways that receive the customer's requests."""
     first_instance: int = 0
-    """... and the index of the first of them; the others follow, counted round."""
+    """Index of the first of these gateways; the others have the next indices, from the last on to 0."""
     is_client_retry: bool = False
-    """Whether the client marked it as a retry."""
+    """Whether the client marked the request as a retry."""
     is_write: bool = False
+    """Whether the request changes data."""
 
 
 @dataclass(frozen=True, slots=True)
 class StreamStarted:
-    """The answer of an attempt, a stream, has begun."""
+    """A backend has begun to answer an attempt with a stream."""
 
     id: str
     """The request's id."""
@@ -100,12 +102,16 @@
     latency: float = 0.0
     """Seconds since the attempt was sent."""
     finished: bool = False
-    """Whether the request has its final answer by this."""
+    """Whether this outcome is the request's final answer, or the request already had one."""
     metered_usage: int = 0
-    """The customer's usage over all gateways: 1 + percent of its rate; 0 if unknown."""
+    """Usage of the customer over all gateways, as the backends meter it.
+
+    The value is 1 plus the usage in percent of the plan's rate; 0 if unknown.
+    """
     settled_units: float = 0.0
-    """True units of the request; 0 if unknown."""
+    """Units that the request actually used; 0 if unknown."""
     load_report: Mapping[str, float] = field(default_factory=dict)
+    """Load figures that the backend reported, by name."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -113,13 +119,15 @@
     """The client has disconnected, or the host has answered the request itself."""
 
     id: str
+    """The request's id."""
 
 
 @dataclass(frozen=True, slots=True)
 class TimerFired:
-    """The time of a `SetTimer` is up."""
+    """A timer that the gateway set has fired."""
 
     token: int
+    """The token of its `SetTimer` action."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -127,19 +135,22 @@
     """A health check has ended."""
 
     backend: str
+    """Id of the backend that was checked."""
     outcome: Outcome
     latency: float = 0.0
-    """Seconds since it was sent."""
+    """Seconds since the health check was sent."""
     load_report: Mapping[str, float] = field(default_factory=dict)
+    """Load figures that the backend reported, by name."""
 
 
 @dataclass(frozen=True, slots=True)
 class GossipReceived:
-    """A message of another gateway has come."""
+    """A gossip message of another gateway has arrived."""
 
     sender: int
-    """Index of the gateway that sent it."""
+    """Index of the gateway that sent the message."""
     text: str
+    """The message."""
 
 
 @dataclass(frozen=True, slots=True)
@@ -147,8 +158,10 @@
     """A call to the shared counter has ended."""
 
     name: int
+    """Name of the count that the call added to."""
     outcome: Outcome
     total: float = 0.0
+    """Total of the count after the call."""
     latency: float = 0.0
     """Seconds since the call was made."""
 
