--- a/ingress/decisions/action_sink.py
+++ b/ingress/decisions/action_sink.py
@@ -1,10 +1,10 @@
-"""Collects the actions that the handling of one event brings."""
+"""The collection of the actions that result from one event."""
 
 import ingress.interface as api
 
 
 class ActionSink:
-    """The actions decided since the present event came; all parts of a gateway add to one sink."""
+    """Collects the actions for the current event; all parts of a gateway add to the same sink."""
 
     __slots__ = ("actions",)
 
@@ -12,9 +12,9 @@
         self.actions: list[api.Action] = []
 
     def begin_event(self) -> None:
-        """Begins a new list; the list of the event before is left to its reader."""
+        """Start a new list; the list of the previous event stays as it is for its reader."""
         self.actions = []
 
     def emit(self, action: api.Action) -> None:
-        """Adds an action."""
+        """Add an action to the list of the current event."""
         self.actions.append(action)
--- a/ingress/decisions/attempts.py
+++ b/ingress/decisions/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of a gateway: their sending, and those in flight."""
+"""The sending of attempts, and the attempts in flight."""
 
 from dataclasses import dataclass
 
@@ -12,81 +12,84 @@
 from ingress.decisions.retry_policy import RetryPolicy
 from ingress.decisions.usage_counter import UsageCounter
 
-MIN_TIMEOUT_S = 1e-6  # as 0 would mean: no time-out but the client's deadline
+MIN_TIMEOUT_S = 1e-6  # not 0, which means that an attempt may last until the client's deadline
 
 
 @dataclass(slots=True)
 class InFlightAttempt:
-    """An attempt without an outcome."""
+    """An attempt that has no outcome yet."""
 
     request: PendingRequest
     sent: SentAttempt
-    """Its backend, and when it was sent."""
+    """The backend of the attempt, and the time when it was sent."""
 
 
 class AttemptTracker:
-    """Sends attempts and keeps account of those in flight."""
+    """Sends attempts and tracks those in flight."""
 
     def __init__(
         self,
         balancer: LoadBalancer,
-        overload: OverloadDetector,
+        overload_detector: OverloadDetector,
         retry_policy: RetryPolicy,
         counter: UsageCounter,
         sink: ActionSink,
     ) -> None:
         self.balancer = balancer
-        self.overload = overload
+        self.overload_detector = overload_detector
         self.retry_policy = retry_policy
         self.counter = counter
         self.sink = sink
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
 
-    def send(self, now: float, request: PendingRequest, explore: bool = False) -> bool:
-        """Sends one more attempt; returns False if no backend may get it.
+    def send_attempt(self, now: float, request: PendingRequest, explore: bool = False) -> bool:
+        """Send one more attempt of `request`; return False if there is no backend that it may be sent to.
 
-        With `explore` it goes beyond the subset, to find out whether an overload is only there.
+        With `explore` the attempt goes to a backend outside of the subset, to find out whether an overload is
+        limited to the subset.
         """
         backend = self.balancer.choose_backend(request, now, explore)
         if backend is None:
             return False
-        if not request.sent:
+        if not request.is_sent:
             self._charge_first_attempt(now, request)
-        write_within = request.write_within(now)
-        key = self._record(now, request, backend)
+        max_write_delay = request.max_write_delay(now)
+        key = self._record_sent_attempt(now, request, backend)
         if explore:
-            self.overload.exploratory_attempt = key
+            self.overload_detector.exploratory_attempt = key
         timeout = max(self.retry_policy.attempt_timeout(now, request), MIN_TIMEOUT_S)
-        self.sink.emit(api.SendAttempt(request.id, backend.info.id, timeout, write_within))
+        self.sink.emit(api.SendAttempt(request.id, backend.info.id, timeout, max_write_delay))
         return True
 
     def _charge_first_attempt(self, now: float, request: PendingRequest) -> None:
-        request.sent = True
+        request.is_sent = True
         self.retry_policy.record_first_attempt()
         accounting = request.accounting
         if request.plan.ceiling_rate:
             accounting.charges += request.customer.ceiling.take(request.units)
         if accounting.inside_quota:
             self.counter.mark_unreported(request.customer)
-            reported = accounting.counted_units > 0 or accounting.sampled
-            request.customer.charge(now, request, reported)
+            is_reported = accounting.counted_units > 0 or accounting.sampled
+            request.customer.charge(now, request, is_reported)
             accounting.counted_units = 0.0
 
-    def _record(self, now: float, request: PendingRequest, backend: TrackedBackend) -> AttemptKey:
-        number = len(request.attempts.sent)
-        key = request.id, number
-        sent = SentAttempt(backend, now)
-        request.attempts.sent.append(sent)
-        request.attempts.possibly_executed.append(sent)
-        request.attempts.in_flight[number] = backend
+    def _record_sent_attempt(
+        self, now: float, request: PendingRequest, backend: TrackedBackend
+    ) -> AttemptKey:
+        attempt_number = len(request.attempts.sent)
+        key = request.id, attempt_number
+        sent_attempt = SentAttempt(backend, now)
+        request.attempts.sent.append(sent_attempt)
+        request.attempts.possibly_executed.append(sent_attempt)
+        request.attempts.in_flight[attempt_number] = backend
         request.customer.attempts_in_flight += 1
-        self.in_flight[key] = InFlightAttempt(request, sent)
+        self.in_flight[key] = InFlightAttempt(request, sent_attempt)
         self.balancer.attempt_started(backend, key, now)
-        self.overload.attempt_started(now, key, request.request_class)
+        self.overload_detector.record_attempt_start(now, key, request.request_class)
         return key
 
-    def complete(self, now: float, event: api.AttemptEnded) -> InFlightAttempt | None:
-        """Takes an attempt that has ended out of the accounts and returns it; None if it is not known."""
+    def end_attempt(self, now: float, event: api.AttemptEnded) -> InFlightAttempt | None:
+        """Remove an attempt that has ended and return it; return None if it is not known."""
         key = event.id, event.attempt
         attempt = self.in_flight.pop(key, None)
         if attempt is None:
@@ -95,7 +98,7 @@
         request.customer.attempts_in_flight -= 1
         self.balancer.attempt_ended(attempt.sent.backend, key)
         request.attempts.in_flight.pop(event.attempt, None)
-        self.overload.attempt_ended(now, key)
+        self.overload_detector.record_attempt_end(now, key)
         if event.outcome.proves_not_executed:
             request.attempts.possibly_executed.remove(attempt.sent)
         return attempt
--- a/ingress/decisions/constants.py
+++ b/ingress/decisions/constants.py
@@ -1,5 +1,5 @@
-"""Constants that several modules of the decision package share."""
+"""Constants that several modules of the decision package use."""
 
-NEVER = float("-inf")  # s: a time before any event
-SMOOTHING = 0.15  # factor of exponential smoothing: a mean follows about the last dozen samples
-SLOW_SMOOTHING = SMOOTHING / 4  # the same for what changes slowly: about the last fifty samples
+NEVER = float("-inf")  # a time in seconds, before any event
+SMOOTHING = 0.15  # factor of exponential smoothing; the mean covers about the last dozen samples
+SLOW_SMOOTHING = SMOOTHING / 4  # for values that change slowly; the mean covers about the last fifty samples
--- a/ingress/decisions/final_answers.py
+++ b/ingress/decisions/final_answers.py
@@ -1,4 +1,4 @@
-"""The final answers that a gateway itself gives: rejected or failed."""
+"""The final answers that a gateway gives itself, without a backend: rejected or failed."""
 
 import ingress.interface as api
 from ingress.decisions.action_sink import ActionSink
@@ -7,7 +7,7 @@
 
 
 class FinalAnswers:
-    """Answers requests that are not, or not again, sent to a backend."""
+    """Finishes requests for which no further attempt is sent to a backend."""
 
     def __init__(
         self,
@@ -21,9 +21,9 @@
         self.counter = counter
         self.sink = sink
 
-    def finish(self, request: PendingRequest) -> None:
-        """Gives the final answer: rejected if a retry does no harm, else failed."""
-        request.finished = True
+    def finish_request(self, request: PendingRequest) -> None:
+        """Give the final answer: rejected if the client may safely retry the request, otherwise failed."""
+        request.is_finished = True
         self.counter.withdraw_units(request)
         self.requests.pop(request.id, None)
         if request.may_reject():
@@ -32,9 +32,9 @@
             self.sink.emit(api.Fail(request.id))
 
     def _retry_after(self, request: PendingRequest) -> float:
-        """Returns the value of Retry-After (s): when the quota has filled by the units of the request.
+        """Return the value of Retry-After (s): the time in which the quota refills by the request's units.
 
-        The quota of the whole fleet counts, as the client may come back through another gateway.
+        It is based on the quota of the whole fleet, as the client may send its retry to another gateway.
         """
         if not request.plan.rate or not self.settings.sends_retry_after:
             return 0.0
--- a/ingress/decisions/gateway.py
+++ b/ingress/decisions/gateway.py
@@ -1,4 +1,4 @@
-"""The gateway: events in, actions out.  It builds the parts of the decision module and routes events."""
+"""The gateway, which builds the parts of the decision module and passes each event to its handler."""
 
 import random
 from collections.abc import Callable
@@ -8,7 +8,7 @@
 from ingress.decisions.action_sink import ActionSink
 from ingress.decisions.admission import Admission
 from ingress.decisions.answer_times import AnswerTimes
-from ingress.decisions.attempt_outcomes import AttemptOutcomes, OutcomeLearning
+from ingress.decisions.attempt_outcomes import AttemptOutcomeHandler, OutcomeRecorder
 from ingress.decisions.attempts import AttemptTracker
 from ingress.decisions.balancer import LoadBalancer
 from ingress.decisions.final_answers import FinalAnswers
@@ -26,16 +26,16 @@
 
 
 class Gateway:
-    """The decisions of one gateway.  `handle` takes an event and returns the actions."""
+    """The decisions of one gateway: `handle` takes an event and returns the actions that follow from it."""
 
     def __init__(self, settings: api.Settings, seed: int) -> None:
         self.settings = settings
         self.rng = random.Random(seed)
-        """The only source of randomness; all parts draw from it."""
+        """The only source of randomness, which all parts of the gateway use."""
         self.sink = ActionSink()
         self.process = ProcessStart()
         self.requests: dict[str, PendingRequest] = {}
-        """The requests without a final answer, by id."""
+        """The requests that have no final answer yet, by id."""
         self._build_load_control()
         self._build_quota()
         self._build_attempts()
@@ -43,22 +43,22 @@
         self.gossip = GossipExchange(self.peers, self.admission, self.process, self.sink)
         self.timers = Timers(settings, self.rng, self.admission, self.counter, self.gossip, self.sink)
         self._handlers: dict[type, Callable[[float, Any], None]] = {
-            api.Request: self.intake.receive,
-            api.RequestCancelled: self.intake.cancel,
-            api.StreamStarted: self.intake.start_stream,
-            api.AttemptEnded: self.outcomes.handle,
-            api.CounterReply: self.decision.resume_waiting,
+            api.Request: self.request_intake.receive_request,
+            api.RequestCancelled: self.request_intake.cancel_request,
+            api.StreamStarted: self.request_intake.record_stream_start,
+            api.AttemptEnded: self.outcome_handler.handle_attempt_end,
+            api.CounterReply: self.request_decision.handle_counter_reply,
             api.GossipReceived: self.gossip.receive,
             api.EndpointUpdate: self._update_endpoints,
-            api.TimerFired: self.timers.fire,
+            api.TimerFired: self.timers.handle_timer,
         }
-        """By the type of an event; others, as `HealthCheckEnded`, bring no action."""
+        """The handlers by the type of event; other events, such as `HealthCheckEnded`, cause no action."""
 
     def _build_load_control(self) -> None:
         self.answer_times = AnswerTimes(self.settings)
         self.balancer = LoadBalancer(self.settings, self.answer_times, self.rng)
         self.overload = OverloadDetector(self.balancer.load_totals)
-        self.ranking = RequestRanking(self.answer_times, self.rng)
+        self.request_ranking = RequestRanking(self.answer_times, self.rng)
         self.retry_policy = RetryPolicy(self.settings, self.answer_times, self.overload)
 
     def _build_quota(self) -> None:
@@ -71,57 +71,58 @@
         self.attempts = AttemptTracker(
             self.balancer, self.overload, self.retry_policy, self.counter, self.sink
         )
-        self.outcomes = AttemptOutcomes(
+        self.outcome_handler = AttemptOutcomeHandler(
             self.requests,
             self.attempts,
-            OutcomeLearning(self.balancer, self.answer_times, self.counter),
+            OutcomeRecorder(self.balancer, self.answer_times, self.counter),
             self.retry_policy,
             self.counter,
             self.final_answers,
         )
 
     def _build_intake(self) -> None:
-        self.decision = RequestDecision(
+        self.request_decision = RequestDecision(
             self.admission,
             self.counter,
             self.overload,
-            self.ranking,
+            self.request_ranking,
             self.attempts,
             self.final_answers,
             self.process,
         )
-        self.intake = RequestIntake(
+        self.request_intake = RequestIntake(
             self.settings,
             self.requests,
             self.admission,
             self.counter,
             self.answer_times,
-            self.decision,
+            self.request_decision,
             self.final_answers,
             self.process,
         )
 
     @property
     def actions(self) -> list[api.Action]:
-        """What was decided on the latest event, also if its handler raised an error halfway."""
+        """The actions for the latest event; if its handler failed, those decided before the error."""
         return self.sink.actions
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Takes an event at `now` (s, never less than before) and returns what to do about it."""
+        """Handle an event that came at `now` (s, never less than before); return the resulting actions."""
         self.sink.begin_event()
-        if not self.process.known:
-            self._start(now)
+        if not self.process.is_known:
+            self._start_process(now)
         handler = self._handlers.get(type(event))
         if handler is not None:
             handler(now, event)
         return self.sink.actions
 
-    def _start(self, now: float) -> None:
-        self.process.record(now)
-        self.counter.last_reply_at = now  # assume that the counter is up, but overloaded
+    def _start_process(self, now: float) -> None:
+        self.process.record_first_event(now)
+        # Until the first reply, the counter is assumed to be up but overloaded.
+        self.counter.last_reply_at = now
         self.timers.start()
 
     def _update_endpoints(self, now: float, event: api.EndpointUpdate) -> None:
         self.balancer.apply_update(event, now)
         if event.kind is api.EndpointUpdateKind.UNAVAILABLE:
-            self.timers.retry_discovery()
+            self.timers.schedule_discovery_retry()
--- a/ingress/decisions/process_start.py
+++ b/ingress/decisions/process_start.py
@@ -1,4 +1,4 @@
-"""When this process of the gateway started."""
+"""The time when this process of the gateway started."""
 
 from dataclasses import dataclass
 
@@ -7,20 +7,21 @@
 
 @dataclass(slots=True)
 class ProcessStart:
-    """The start of this process, known once its first event has come."""
+    """The start time of this process, which is the time of its first event."""
 
-    known: bool = False
+    is_known: bool = False
+    """Whether the first event has come."""
     started_at: float = 0.0
     """Time of the first event (s); 0 until then."""
     incarnation: int = 0
-    """The same in whole milliseconds: tells this process's gossip from that of earlier ones."""
+    """`started_at` in whole milliseconds; distinguishes gossip of this process from that of earlier ones."""
 
-    def record(self, now: float) -> None:
-        """Records that the first event came at `now` (s)."""
-        self.known = True
+    def record_first_event(self, now: float) -> None:
+        """Record that the first event came at `now` (s)."""
+        self.is_known = True
         self.started_at = now
         self.incarnation = int(now * MILLISECONDS_PER_S)
 
     def age(self, now: float) -> float:
-        """Returns the seconds since the start."""
+        """Return the seconds since the start."""
         return now - self.started_at
--- a/ingress/decisions/request.py
+++ b/ingress/decisions/request.py
@@ -1,4 +1,4 @@
-"""A request that the gateway owes an answer: its deadline, and the attempts sent for it."""
+"""A request that the gateway has to answer: its deadline and the attempts sent for it."""
 
 from __future__ import annotations
 
@@ -12,11 +12,11 @@
 
 @dataclass(frozen=True, slots=True)
 class SentAttempt:
-    """An attempt that was sent."""
+    """An attempt that was sent to a backend."""
 
     backend: TrackedBackend
     sent_at: float
-    """Time (s)."""
+    """Time when the attempt was sent (s)."""
 
 
 @dataclass(slots=True)
@@ -24,17 +24,17 @@
     """The attempts of a request."""
 
     sent: list[SentAttempt] = field(default_factory=list)
-    """All of them, in order."""
+    """All attempts, in the order in which they were sent."""
     in_flight: dict[int, TrackedBackend] = field(default_factory=dict)
-    """The backends of those without an outcome, by the attempt's number."""
+    """The backends of the attempts that have no outcome yet, by the attempt's number."""
     possibly_executed: list[SentAttempt] = field(default_factory=list)
-    """Those in flight, and those whose outcome does not prove that they were not executed."""
+    """The attempts in flight, and those whose outcome does not prove that they were not executed."""
     reached_backend: bool = False
-    """Whether a backend may have received one."""
+    """Whether a backend may have received an attempt of the request."""
 
 
 class PendingRequest(QuotaRequest):
-    """A request without a final answer."""
+    """A request from its arrival to its final answer."""
 
     def __init__(
         self, event: api.Request, request_class: api.RequestClass, customer: Customer, now: float
@@ -44,30 +44,30 @@
         self.customer = customer
         self.plan = customer.plan
         self.is_client_retry = event.is_client_retry
-        """Whether the client marked it as a retry."""
-        self.returned_early = self._returns_early(now)
-        """Whether the customer's request before came so lately that its slice could not fill by the units."""
+        """Whether the client marked the request as a retry."""
+        self.returned_early = self._arrives_before_refill(now)
+        """Whether the customer's slice could not refill by the request's units since its previous request."""
         self.deadline = now + event.remaining_time
-        """Time (s) at which the client gives up; infinite once a stream has begun."""
+        """Time (s) at which the client stops waiting; infinite once the answer, a stream, has begun."""
         self.too_late = False
-        """Whether it cannot be answered within its latency objective any more."""
-        self.finished = False
-        """Whether it has its final answer, or its client has left."""
-        self.sent = False
-        """Whether its first attempt was sent."""
+        """Whether the request can no longer be answered within its latency objective."""
+        self.is_finished = False
+        """Whether the request has its final answer, or its client has left."""
+        self.is_sent = False
+        """Whether the first attempt was sent."""
         self.attempts = AttemptHistory()
 
-    def _returns_early(self, now: float) -> bool:
+    def _arrives_before_refill(self, now: float) -> bool:
         slice_rate = self.customer.slice.rate
         return self.plan.rate > 0 and now - self.customer.seen_at < self.units / slice_rate
 
     def may_reject(self) -> bool:
-        """Whether the answer "rejected" is true: it promises the client that a retry does no harm."""
-        idempotent = self.request_class.idempotency is api.Idempotency.IDEMPOTENT
-        return idempotent or not self.attempts.possibly_executed
+        """Return whether the final answer may be "rejected", which guarantees that a retry is safe."""
+        is_idempotent = self.request_class.idempotency is api.Idempotency.IDEMPOTENT
+        return is_idempotent or not self.attempts.possibly_executed
 
     def may_send(self, backend: TrackedBackend, now: float, settings: api.Settings) -> bool:
-        """Whether one more attempt, to `backend`, keeps the request from taking effect twice."""
+        """Return whether `backend` may get one more attempt without the request taking effect twice."""
         attempts = self.attempts
         if len(attempts.sent) >= settings.max_attempts:
             return False
@@ -80,30 +80,30 @@
             return False
         window = self.request_class.deduplication_window
         return all(
-            now + settings.tick < earlier.sent_at + window
-            and self._deduplicates(backend.info, earlier.backend.info)
-            for earlier in attempts.possibly_executed
+            now + settings.tick < earlier_attempt.sent_at + window
+            and self._deduplicates(backend.info, earlier_attempt.backend.info)
+            for earlier_attempt in attempts.possibly_executed
         )
 
-    def write_within(self, now: float) -> float:
-        """Returns the seconds within which one more attempt has to be written; 0: no limit.
+    def max_write_delay(self, now: float) -> float:
+        """Return the seconds within which one more attempt has to be written; 0: no limit.
 
-        Backends drop a repeat for a limited time only.  One whose connection comes up later than that would
-        be executed a second time.
+        Backends deduplicate a request only for a limited time.  If the connection for a further attempt were
+        established after that time, the backend would execute the request a second time.
         """
         window = self.request_class.deduplication_window
         if not window:
             return 0.0
         return min(
-            (earlier.sent_at + window - now for earlier in self.attempts.possibly_executed), default=0.0
+            (attempt.sent_at + window - now for attempt in self.attempts.possibly_executed), default=0.0
         )
 
-    def _deduplicates(self, backend: api.Backend, other: api.Backend) -> bool:
-        """Whether `backend` drops a repeat of what `other` may have executed."""
+    def _deduplicates(self, backend: api.Backend, earlier_backend: api.Backend) -> bool:
+        """Return whether `backend` deduplicates a request that `earlier_backend` may have executed."""
         match self.request_class.deduplication_scope:
             case api.DeduplicationScope.ALL:
                 return True
             case api.DeduplicationScope.ZONE:
-                return backend.zone == other.zone
+                return backend.zone == earlier_backend.zone
             case api.DeduplicationScope.CELL:
-                return backend.cell == other.cell
+                return backend.cell == earlier_backend.cell
--- a/ingress/decisions/request_decision.py
+++ b/ingress/decisions/request_decision.py
@@ -1,4 +1,4 @@
-"""The decision on a request: send it, or shed or reject it."""
+"""The decision whether a request is sent to a backend or finished without one."""
 
 from typing import cast
 
@@ -12,67 +12,69 @@
 from ingress.decisions.request_ranking import RequestRanking
 from ingress.decisions.usage_counter import UsageCounter
 
-MAX_OVER_QUOTA_SHED_SHARE = -0.1  # below it there is spare capacity for requests beyond their quota
+# Shed share below which there is spare capacity for requests beyond their quota.
+MAX_OVER_QUOTA_SHED_SHARE = -0.1
 
 
 class RequestDecision:
-    """Decides on requests by their customer's limits and by the load of the backends."""
+    """Decides on requests by the limits of their customers and by the load of the backends."""
 
     def __init__(
         self,
         admission: Admission,
         counter: UsageCounter,
-        overload: OverloadDetector,
-        ranking: RequestRanking,
-        attempts: AttemptTracker,
+        overload_detector: OverloadDetector,
+        request_ranking: RequestRanking,
+        attempt_tracker: AttemptTracker,
         final_answers: FinalAnswers,
-        process: ProcessStart,
+        process_start: ProcessStart,
     ) -> None:
         self.admission = admission
         self.counter = counter
-        self.overload = overload
-        self.ranking = ranking
-        self.attempts = attempts
+        self.overload_detector = overload_detector
+        self.request_ranking = request_ranking
+        self.attempt_tracker = attempt_tracker
         self.final_answers = final_answers
-        self.process = process
+        self.process_start = process_start
 
     def decide(self, now: float, request: PendingRequest) -> None:
-        """Sends the request, or gives its final answer.
+        """Send the request to a backend, or give its final answer.
 
-        A request inside its quota is sent unless an overload sheds it; one beyond the quota is sent where
-        its plan makes that pay and there is spare capacity.
+        A request inside its quota is sent unless it is shed because of an overload.  A request beyond its
+        quota is sent if its plan makes it worthwhile and there is spare capacity.
         """
-        if request.finished:  # its client left while it awaited the counter's reply
+        if request.is_finished:  # its client left while it awaited the counter's reply
             self.counter.withdraw_units(request)
             return
         request.accounting.inside_quota = self.admission.inside_quota(now, request)
-        shed_share = self.overload.shed_share(now)
-        within_limits = self._within_limits(now, request, shed_share)
-        shed = shed_share > self.ranking.quantile(request)
-        # The overload may be one of the subset alone: one attempt at a time goes beyond it.
-        explore = shed and self.overload.exploratory_attempt is None
-        admitted = within_limits and (not shed or explore)
-        if not admitted or not self.attempts.send(now, request, explore):
-            self.final_answers.finish(request)
+        shed_share = self.overload_detector.shed_share(now)
+        is_within_limits = self._is_within_limits(now, request, shed_share)
+        is_shed = shed_share > self.request_ranking.rank_request(request)
+        # The overload may be limited to the subset, so one request at a time is sent outside of it instead of
+        # being shed.
+        explore = is_shed and self.overload_detector.exploratory_attempt is None
+        is_admitted = is_within_limits and (not is_shed or explore)
+        if not is_admitted or not self.attempt_tracker.send_attempt(now, request, explore):
+            self.final_answers.finish_request(request)
 
-    def _within_limits(self, now: float, request: PendingRequest, shed_share: float) -> bool:
+    def _is_within_limits(self, now: float, request: PendingRequest, shed_share: float) -> bool:
         plan = request.plan
-        under_ceiling = not plan.ceiling_rate or request.customer.under_ceiling(now, request.units)
-        over_quota_pays = (
+        is_under_ceiling = not plan.ceiling_rate or request.customer.under_ceiling(now, request.units)
+        is_over_quota_worthwhile = (
             plan.over_quota_weight_share > plan.over_quota_cost_share
             and shed_share < MAX_OVER_QUOTA_SHED_SHARE
         )
-        return (request.accounting.inside_quota or over_quota_pays) and under_ceiling
+        return (request.accounting.inside_quota or is_over_quota_worthwhile) and is_under_ceiling
 
-    def resume_waiting(self, now: float, event: api.CounterReply) -> None:
-        """Takes a reply of the counter and decides on the requests that waited for it."""
-        customer = self.counter.handle_reply(now, event, self.process.started_at)
+    def handle_counter_reply(self, now: float, event: api.CounterReply) -> None:
+        """Process a reply of the shared counter and decide on the requests that waited for it."""
+        customer = self.counter.handle_reply(now, event, self.process_start.started_at)
         if customer is None:
             return
-        waiting = customer.awaiting_counter
+        waiting_requests = customer.awaiting_counter
         customer.awaiting_counter = []
-        for request in waiting:
-            # `Customer` cannot name the type, as `PendingRequest` refers to it; the intake adds no others.
+        for request in waiting_requests:
+            # `Customer` cannot import `PendingRequest`, which imports it; `RequestIntake` adds no other type.
             self.decide(now, cast(PendingRequest, request))
         if event.outcome is api.Outcome.OK:
             self.counter.correct_count(now, customer)
--- a/ingress/decisions/request_intake.py
+++ b/ingress/decisions/request_intake.py
@@ -1,4 +1,4 @@
-"""The intake of requests: finds the customer, and asks the shared counter before the decision if needed."""
+"""The intake of requests: finding the customer, and asking the shared counter first where needed."""
 
 import ingress.interface as api
 from ingress.decisions.admission import Admission
@@ -11,7 +11,7 @@
 
 
 class RequestIntake:
-    """Takes in requests, and what clients and streams tell of them later."""
+    """Receives requests, and the later events that come from their clients or streams."""
 
     def __init__(
         self,
@@ -20,72 +20,73 @@
         admission: Admission,
         counter: UsageCounter,
         answer_times: AnswerTimes,
-        decision: RequestDecision,
+        request_decision: RequestDecision,
         final_answers: FinalAnswers,
-        process: ProcessStart,
+        process_start: ProcessStart,
     ) -> None:
         self.settings = settings
         self.requests = requests
         self.admission = admission
         self.counter = counter
         self.answer_times = answer_times
-        self.decision = decision
+        self.request_decision = request_decision
         self.final_answers = final_answers
-        self.process = process
+        self.process_start = process_start
         self.classes = {request_class.name: request_class for request_class in settings.classes}
         self.plans = {plan.name: plan for plan in settings.plans}
-        self.first_remaining_times: dict[str, float] = {}
-        """Seconds that the client of the latest first try waits for its answer, by request class."""
+        self.first_try_remaining_times: dict[str, float] = {}
+        """Remaining time (s) of the latest request that was not marked as a retry, by request class."""
 
-    def receive(self, now: float, event: api.Request) -> None:
-        """Takes in a request and decides on it, at once or when the counter has replied."""
-        request = self._pending_request(now, event)
+    def receive_request(self, now: float, event: api.Request) -> None:
+        """Accept a request and decide on it, at once or after a reply of the shared counter."""
+        request = self._create_pending_request(now, event)
         if request.too_late and not request.request_class.late_weight_share:
-            self.final_answers.finish(request)
-        elif self._asks_counter(now, request):
+            self.final_answers.finish_request(request)
+        elif self._must_await_counter(now, request):
             request.customer.awaiting_counter.append(request)
         else:
-            self.decision.decide(now, request)
+            self.request_decision.decide(now, request)
 
-    def _pending_request(self, now: float, event: api.Request) -> PendingRequest:
+    def _create_pending_request(self, now: float, event: api.Request) -> PendingRequest:
         plan = self.plans[event.plan]
         request_class = self.classes[event.request_class]
-        customer = self.admission.find_customer(now, event, plan, self.process.age(now))
+        customer = self.admission.find_customer(now, event, plan, self.process_start.age(now))
         request = PendingRequest(event, request_class, customer, now)
         self.requests[event.id] = request
-        customer.seen_at = now  # only now, as the request is built with the time before
+        customer.seen_at = now  # set last, as `PendingRequest` reads the time of the previous request
         request.too_late = self._is_too_late(event, request_class)
         return request
 
     def _is_too_late(self, event: api.Request, request_class: api.RequestClass) -> bool:
-        """Whether a client's retry cannot be answered within the latency objective of its first try.
+        """Return whether a client's retry cannot be answered within the latency objective of its first try.
 
-        The time that is left tells when the first try began, unless the client waits anew for each try.
+        The remaining time shows when the first try began, unless the client restarts its deadline for each
+        try.  A retry with as much time left as the latest first try indicates such a restart.
         """
         if not event.is_client_retry:
-            self.first_remaining_times[request_class.name] = event.remaining_time
+            self.first_try_remaining_times[request_class.name] = event.remaining_time
             return False
-        first_remaining_time = self.first_remaining_times.get(request_class.name, 0.0)
-        waits_anew = abs(event.remaining_time - first_remaining_time) <= self.settings.tick
+        first_try_remaining_time = self.first_try_remaining_times.get(request_class.name, 0.0)
+        deadline_restarts = abs(event.remaining_time - first_try_remaining_time) <= self.settings.tick
         elapsed = request_class.deadline - event.remaining_time
-        expected = elapsed + self.answer_times.mean(request_class)
-        return not waits_anew and expected > request_class.latency_objective
+        expected_latency = elapsed + self.answer_times.mean(request_class)
+        return not deadline_restarts and expected_latency > request_class.latency_objective
 
-    def _asks_counter(self, now: float, request: PendingRequest) -> bool:
-        """Whether the request has to wait for a reply of the counter, which is asked if it was not yet."""
+    def _must_await_counter(self, now: float, request: PendingRequest) -> bool:
+        """Return whether the request has to wait for a reply of the counter; call the counter if needed."""
         if not request.plan.rate or not self.admission.needs_counter(now, request):
             return False
-        ceiling_short = self.admission.ceiling_slice_short(now, request)
-        return self.counter.request_total(now, request.customer, request, ceiling_short)
+        is_ceiling_short = self.admission.ceiling_slice_short(now, request)
+        return self.counter.request_total(now, request.customer, request, is_ceiling_short)
 
-    def cancel(self, _now: float, event: api.RequestCancelled) -> None:
-        """Forgets a request whose client has left or has its answer."""
+    def cancel_request(self, _now: float, event: api.RequestCancelled) -> None:
+        """Drop a request whose client has left or has its answer."""
         request = self.requests.pop(event.id, None)
         if request is not None:
-            request.finished = True
+            request.is_finished = True
 
-    def start_stream(self, _now: float, event: api.StreamStarted) -> None:
-        """Lifts the deadline of a request whose answer, a stream, has begun."""
+    def record_stream_start(self, _now: float, event: api.StreamStarted) -> None:
+        """Remove the deadline of a request whose answer, a stream, has begun."""
         request = self.requests.get(event.id)
         if request is not None:
             request.deadline = float("inf")
--- a/ingress/decisions/retry_policy.py
+++ b/ingress/decisions/retry_policy.py
@@ -1,4 +1,4 @@
-"""The retry policy: the retry budget, and how long an attempt may take before another one follows."""
+"""The retry policy: the retry budget, and the time-out after which a retry may replace an attempt."""
 
 import ingress.interface as api
 from ingress.decisions.answer_times import AnswerTimes
@@ -6,53 +6,57 @@
 from ingress.decisions.request import PendingRequest
 from ingress.decisions.token_bucket import TokenBucket
 
-RETRIES_PER_REQUEST = 0.15  # added to the budget by each first attempt
-MAX_SAVED_RETRIES = 10.0  # capacity of the budget
-INITIAL_RETRIES = 1.0  # in the budget of a new process
-LOST_AFTER_MEANS = 8.0  # mean answer times after which an attempt may be lost ...
-LOST_AFTER_OBJECTIVES = 0.7  # ... but not before this many latency objectives
+RETRIES_PER_REQUEST = 0.15  # retries that each first attempt adds to the budget
+MAX_SAVED_RETRIES = 10.0  # capacity of the budget, in retries
+INITIAL_RETRIES = 1.0  # retries in the budget of a new process
+# An attempt is considered lost after the longer of these two times.
+LOST_AFTER_MEANS = 8.0  # in mean answer times of the request class
+LOST_AFTER_OBJECTIVES = 0.7  # in latency objectives of the request class
 
 
 class RetryPolicy:
-    """Decides on retries: they make an overload worse, so they need spare capacity and a budget."""
+    """Decides on retries, which need spare capacity and a budget, as they make an overload worse."""
 
-    def __init__(self, settings: api.Settings, answer_times: AnswerTimes, overload: OverloadDetector) -> None:
+    def __init__(
+        self, settings: api.Settings, answer_times: AnswerTimes, overload_detector: OverloadDetector
+    ) -> None:
         self.settings = settings
         self.answer_times = answer_times
-        self.overload = overload
+        self.overload_detector = overload_detector
         self.budget = TokenBucket(rate=0.0, capacity=MAX_SAVED_RETRIES, level=INITIAL_RETRIES, updated_at=0.0)
-        """Retries that may be sent now.  Not time fills it but first attempts."""
+        """The retries that may be sent now; first attempts refill the budget, not the passing of time."""
 
     def record_first_attempt(self) -> None:
-        """Adds what the first attempt of a request brings to the budget."""
+        """Add the share of a retry that the first attempt of a request grants to the budget."""
         self.budget.level = min(self.budget.capacity, self.budget.level + RETRIES_PER_REQUEST)
 
     def record_retry(self, proves_not_executed: bool) -> None:
-        """Takes a retry from the budget, unless the attempt before is proven to have cost no backend work."""
+        """Charge a retry to the budget, unless it is proven that no backend executed the previous attempt."""
         if not proves_not_executed:
             self.budget.take(1.0)
 
     def may_retry(self, now: float, request: PendingRequest, proves_not_executed: bool) -> bool:
-        """Whether a retry may be answered in time, and budget and spare capacity allow it.
+        """Return whether a retry can be answered in time and is allowed by the budget and the spare capacity.
 
-        `proves_not_executed` tells whether the outcome of the last attempt proves that no backend executed
-        it; such a retry needs no budget.
+        `proves_not_executed` says whether the outcome of the last attempt proves that no backend executed it;
+        then the retry needs no budget.
         """
-        in_time = now + self.answer_times.mean(request.request_class) < request.deadline
-        affordable = proves_not_executed or self._has_budget()
-        return in_time and affordable and self.overload.shed_share(now) < 0
+        is_in_time = now + self.answer_times.mean(request.request_class) < request.deadline
+        is_affordable = proves_not_executed or self._has_budget()
+        return is_in_time and is_affordable and self.overload_detector.shed_share(now) < 0
 
     def attempt_timeout(self, now: float, request: PendingRequest) -> float:
-        """Returns the seconds until the latest attempt of `request` is given up.
+        """Return the seconds after which the latest attempt of `request` is given up.
 
-        That is at the deadline, or as soon as the attempt is likely to be lost if another may follow in time.
+        An attempt may last until the deadline.  If another attempt may follow in time, it is given up as soon
+        as it is likely to be lost.
         """
-        remaining = request.deadline - now
+        remaining_time = request.deadline - now
         lost_after = self._lost_after(request.request_class)
-        leaves_time_for_another = lost_after < remaining / 2
-        if leaves_time_for_another and self._another_may_follow(request):
+        has_time_for_another = lost_after < remaining_time / 2
+        if has_time_for_another and self._may_send_another_attempt(request):
             return lost_after
-        return remaining
+        return remaining_time
 
     def _lost_after(self, request_class: api.RequestClass) -> float:
         return max(
@@ -60,7 +64,7 @@
             LOST_AFTER_OBJECTIVES * request_class.latency_objective,
         )
 
-    def _another_may_follow(self, request: PendingRequest) -> bool:
+    def _may_send_another_attempt(self, request: PendingRequest) -> bool:
         return (
             request.request_class.idempotency is not api.Idempotency.NOT_IDEMPOTENT
             and len(request.attempts.sent) < self.settings.max_attempts
--- a/ingress/decisions/timers.py
+++ b/ingress/decisions/timers.py
@@ -1,4 +1,4 @@
-"""The timers of a gateway: the periodic reports and evictions, and the retry of a failed discovery call."""
+"""The timers of a gateway, for its periodic work and for the retry of a failed discovery call."""
 
 import random
 
@@ -8,40 +8,43 @@
 from ingress.decisions.gossip_exchange import GossipExchange
 from ingress.decisions.usage_counter import UsageCounter
 
-TICK_TOKEN = 0  # of the timer for periodic work
-DISCOVERY_TOKEN = 1  # of the timer for the repeat of a discovery call that failed
-MIN_REPORT_PERIOD_S = 0.25  # between two reports of use: short beside bursts, long beside requests
-RECEIVE_RATE_MARGIN = 2  # what a peer takes in over what is sent to it
+TICK_TOKEN = 0  # token of the timer for the periodic work
+DISCOVERY_TOKEN = 1  # token of the timer for the retry of a failed discovery call
+# Between two reports of use; short compared with a burst, long compared with a request.
+MIN_REPORT_PERIOD_S = 0.25
+RECEIVE_RATE_MARGIN = 2  # ratio of the message rate that a gateway can receive to the rate sent to it
 EVICTION_PERIOD_S = 60.0  # between two evictions of idle customers
-MIN_RETRY_SHARE = 0.1  # of the poll interval: the shortest delay before a failed discovery call is repeated
-MAX_RETRY_SHARE = 0.25  # of the poll interval: the longest such delay
+MIN_DISCOVERY_RETRY_SHARE = 0.1  # minimum delay of a discovery retry, as a share of the poll interval
+MAX_DISCOVERY_RETRY_SHARE = 0.25  # maximum delay of a discovery retry, as a share of the poll interval
 
 
 def gossip_period(settings: api.Settings) -> float:
-    """Returns the seconds between two gossip messages of a gateway.
+    """Return the seconds between two gossip messages of a gateway.
 
-    All messages take half of what a receiver takes in; the other half is for losses and bursts.
+    The messages of all gateways take up half of the rate that a gateway can receive.  The other half is a
+    reserve for losses and bursts.
     """
     receive_rate = max(1.0, settings.gossip_receive_rate)
     return max(MIN_REPORT_PERIOD_S, RECEIVE_RATE_MARGIN * settings.instance_count / receive_rate)
 
 
 def uses_counter(settings: api.Settings) -> bool:
-    """Whether use is counted at the shared counter and not reported by gossip.
+    """Return whether the gateway reports use to the shared counter and not by gossip.
 
-    Gossip from all peers tells more than a count, while they are few enough to send it often.
+    Gossip is preferred while there are so few gateways that each can send it often: the reports of all peers
+    contain more information than a count.
     """
-    frequent_gossip = settings.gossip and gossip_period(settings) <= MIN_REPORT_PERIOD_S
-    return settings.counter_enabled and not frequent_gossip
+    is_gossip_frequent = settings.gossip and gossip_period(settings) <= MIN_REPORT_PERIOD_S
+    return settings.counter_enabled and not is_gossip_frequent
 
 
 def report_period(settings: api.Settings) -> float:
-    """Returns the seconds between two reports of use, to the counter or by gossip."""
+    """Return the seconds between two reports of use, to the shared counter or by gossip."""
     return MIN_REPORT_PERIOD_S if uses_counter(settings) else gossip_period(settings)
 
 
 class Timers:
-    """Sets the gateway's timers and does what is due when one fires."""
+    """Sets the timers of a gateway and does the work that is due when a timer fires."""
 
     def __init__(
         self,
@@ -60,40 +63,43 @@
         self.sink = sink
         self.period = report_period(settings)
         """Seconds between two ticks."""
-        self.evicted_at = 0.0
-        """When idle customers were evicted last (s)."""
-        self.discovery_retry_due = False
-        """Whether a timer for the repeat of a discovery call is set."""
+        self.last_eviction_at = 0.0
+        """Time of the last eviction of idle customers (s)."""
+        self.is_discovery_retry_set = False
+        """Whether the timer for the retry of a failed discovery call is set."""
 
     def start(self) -> None:
-        """Sets the first tick and starts discovery; a random phase keeps gateways from ticking together."""
+        """Set the timer for the first tick, and start discovery if the endpoint list is polled.
+
+        The delay of the first tick is random, so that the gateways of a fleet do not tick at the same time.
+        """
         self.sink.emit(api.SetTimer(self.period * self.rng.random(), TICK_TOKEN))
         if self.settings.poll_discovery:
             self.sink.emit(api.SubscribeEndpoints())
 
-    def retry_discovery(self) -> None:
-        """Sets a timer for a new discovery call after one that failed.
+    def schedule_discovery_retry(self) -> None:
+        """Set a timer for the retry of a failed discovery call, unless one is set.
 
-        One timer at most is set: with a call more for each failed one, failures would multiply the calls.
+        If each failure set its own timer, the failures would multiply the calls.
         """
-        if self.discovery_retry_due:
+        if self.is_discovery_retry_set:
             return
-        self.discovery_retry_due = True
-        share = self.rng.uniform(MIN_RETRY_SHARE, MAX_RETRY_SHARE)
-        self.sink.emit(api.SetTimer(share * self.settings.max_poll_interval, DISCOVERY_TOKEN))
+        self.is_discovery_retry_set = True
+        delay_share = self.rng.uniform(MIN_DISCOVERY_RETRY_SHARE, MAX_DISCOVERY_RETRY_SHARE)
+        self.sink.emit(api.SetTimer(delay_share * self.settings.max_poll_interval, DISCOVERY_TOKEN))
 
-    def fire(self, now: float, event: api.TimerFired) -> None:
-        """Does what is due by a timer; a token that is not known is ignored."""
+    def handle_timer(self, now: float, event: api.TimerFired) -> None:
+        """Do the work that is due when a timer fires; ignore a timer with an unknown token."""
         if event.token == DISCOVERY_TOKEN:
-            self.discovery_retry_due = False
+            self.is_discovery_retry_set = False
             self.sink.emit(api.SubscribeEndpoints())
         elif event.token == TICK_TOKEN:
-            self._tick(now)
+            self._run_periodic_work(now)
 
-    def _tick(self, now: float) -> None:
+    def _run_periodic_work(self, now: float) -> None:
         self.sink.emit(api.SetTimer(self.period, TICK_TOKEN))
-        if now - self.evicted_at > EVICTION_PERIOD_S:
-            self.evicted_at = now
+        if now - self.last_eviction_at > EVICTION_PERIOD_S:
+            self.last_eviction_at = now
             self.admission.evict_idle(now)
         self.counter.report_large_use(now)
         if not self.counter.enabled and self.settings.gossip:
--- a/tests/decisions/test_gateway.py
+++ b/tests/decisions/test_gateway.py
@@ -1,4 +1,4 @@
-"""The routing of events, and the actions of an event whose handler fails."""
+"""The dispatch of events to their handlers, and the actions of an event whose handler fails."""
 
 from __future__ import annotations
 
@@ -9,24 +9,24 @@
 from tests.support.gateway import Play, sends
 
 
-def test_an_event_without_a_handler_brings_no_action() -> None:
+def test_event_without_a_handler_causes_no_action() -> None:
     assert Play().at(1.0, HealthCheckEnded("b0", Outcome.OK)) == []
 
 
-def test_actions_holds_what_was_decided_before_a_handler_failed(monkeypatch: pytest.MonkeyPatch) -> None:
-    def fail(self: Admission, now: float) -> None:
+def test_actions_decided_before_a_handler_fails_are_kept(monkeypatch: pytest.MonkeyPatch) -> None:
+    def raise_error(self: Admission, now: float) -> None:
         raise RuntimeError("on purpose")
 
     play = Play()
-    monkeypatch.setattr(Admission, "evict_idle", fail)
+    monkeypatch.setattr(Admission, "evict_idle", raise_error)
     with pytest.raises(RuntimeError, match="on purpose"):
         play.at(100.0, TimerFired(0))
     assert [type(action) for action in play.gateway.actions] == [SetTimer]
 
 
-def test_the_actions_of_one_event_stay_when_the_next_one_comes() -> None:
+def test_actions_of_an_event_are_unchanged_by_the_next_event() -> None:
     play = Play()
-    first = play.ask()
-    assert len(sends(first)) == 1
+    first_actions = play.ask()
+    assert len(sends(first_actions)) == 1
     play.ask()
-    assert len(first) == 1
+    assert len(first_actions) == 1
--- a/tests/decisions/test_module.py
+++ b/tests/decisions/test_module.py
@@ -1,4 +1,4 @@
-"""The decision module as a text."""
+"""Rules for the source files of the decision module: their size, their imports and their deployment."""
 
 from __future__ import annotations
 
@@ -11,35 +11,35 @@
 from tests.support.imports import DECISIONS_STANDARD_LIBRARY
 from tests.support.paths import ROOT
 
-LOGIC = sorted((ROOT / "ingress" / "decisions").glob("*.py"))
+SOURCE_FILES = sorted((ROOT / "ingress" / "decisions").glob("*.py"))
 
-MAX_LINES_OF_A_FILE = 300  # not blank
+MAX_FILE_LINES = 300  # without blank lines
 MAX_COLUMNS = 110
 
 
-def policy_lines() -> dict[str, list[str]]:
-    return {path.name: path.read_text(encoding="utf-8").splitlines() for path in LOGIC}
+def read_source_lines() -> dict[str, list[str]]:
+    return {path.name: path.read_text(encoding="utf-8").splitlines() for path in SOURCE_FILES}
 
 
-def test_each_file_of_the_module_stays_small() -> None:
-    sizes = {name: sum(bool(line.strip()) for line in lines) for name, lines in policy_lines().items()}
-    assert max(sizes.values()) <= MAX_LINES_OF_A_FILE
-    assert max(len(line) for lines in policy_lines().values() for line in lines) <= MAX_COLUMNS
+def test_each_source_file_is_small() -> None:
+    sizes = {name: sum(bool(line.strip()) for line in lines) for name, lines in read_source_lines().items()}
+    assert max(sizes.values()) <= MAX_FILE_LINES
+    assert max(len(line) for lines in read_source_lines().values() for line in lines) <= MAX_COLUMNS
 
 
-def test_the_deploy_file_names_every_policy_file() -> None:
+def test_deploy_file_lists_every_source_file() -> None:
     deploy = tomllib.loads((ROOT / "deploy" / "balancer.toml").read_text(encoding="utf-8"))
-    assert sorted(deploy["policy"]) == [path.relative_to(ROOT).as_posix() for path in LOGIC]
+    assert sorted(deploy["policy"]) == [path.relative_to(ROOT).as_posix() for path in SOURCE_FILES]
 
 
-@pytest.mark.parametrize("path", LOGIC, ids=lambda path: path.name)
-def test_the_module_reads_no_clock_file_or_environment(path: Path) -> None:
-    names = set()
+@pytest.mark.parametrize("path", SOURCE_FILES, ids=lambda path: path.name)
+def test_imports_exclude_clock_files_and_environment(path: Path) -> None:
+    imported_modules = set()
     for node in ast.walk(ast.parse(path.read_text(encoding="utf-8"))):
         if isinstance(node, ast.Import):
-            names |= {a.name for a in node.names}
+            imported_modules |= {a.name for a in node.names}
         elif isinstance(node, ast.ImportFrom):
-            names.add(node.module or "")
-    outside = {name for name in names if not name.startswith("ingress.decisions.")}
-    parts_of_the_program = {"ingress.interface", "ingress.decisions", "ingress.gossip_codec"}
-    assert outside <= DECISIONS_STANDARD_LIBRARY | parts_of_the_program
+            imported_modules.add(node.module or "")
+    outside_modules = {name for name in imported_modules if not name.startswith("ingress.decisions.")}
+    allowed_project_modules = {"ingress.interface", "ingress.decisions", "ingress.gossip_codec"}
+    assert outside_modules <= DECISIONS_STANDARD_LIBRARY | allowed_project_modules
--- a/tests/decisions/test_request.py
+++ b/tests/decisions/test_request.py
@@ -1,4 +1,4 @@
-"""`PendingRequest`: which further attempts and which final answers keep a request from running twice."""
+"""`PendingRequest`: the further attempts and the final answers that cannot make it take effect twice."""
 
 from __future__ import annotations
 
@@ -23,8 +23,11 @@
 OUTCOMES = tuple(Outcome)
 
 
-def request_after(request_class: RequestClass, outcome: Outcome | None) -> PendingRequest:
-    """A request whose one attempt, to b0 (zone a, cell 0), ended so, or is out for None."""
+def request_after_first_attempt(request_class: RequestClass, outcome: Outcome | None) -> PendingRequest:
+    """Return a request after its first attempt, to b0 (zone a, cell 0).
+
+    The attempt has ended with `outcome`, or is in flight for None.
+    """
     play = Play(replace(SETTINGS, classes=(request_class,)))
     sent = sends(play.ask(request_class=request_class.name))[0]
     request = play.gateway.requests["r1"]
@@ -51,53 +54,57 @@
     ],
     ids=["safe", "all", "zone", "cell", "unsafe"],
 )
-def test_idempotency_decides_which_backends_may_get_a_retry_and_on_rejection(
+def test_retry_backends_and_rejection_depend_on_idempotency(
     request_class: RequestClass, outcome: Outcome | None
 ) -> None:
-    request = request_after(request_class, outcome)
-    proven = outcome is not None and outcome.proves_not_executed
+    request = request_after_first_attempt(request_class, outcome)
+    is_proven_not_executed = outcome is not None and outcome.proves_not_executed
     settings = replace(SETTINGS, hedging=True)
-    allowed = {b.id for b in FLEET if request.may_send(TrackedBackend(b, 100.0), 100.5, settings)}
-    everything = {b.id for b in FLEET}
-    if proven or request_class.idempotency is Idempotency.IDEMPOTENT:
-        expected = everything
+    allowed_ids = {b.id for b in FLEET if request.may_send(TrackedBackend(b, 100.0), 100.5, settings)}
+    all_ids = {b.id for b in FLEET}
+    if is_proven_not_executed or request_class.idempotency is Idempotency.IDEMPOTENT:
+        expected_ids = all_ids
     elif request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
-        expected = set()
+        expected_ids = set()
     else:
-        expected = {
-            DeduplicationScope.ALL: everything,
+        expected_ids = {
+            DeduplicationScope.ALL: all_ids,
             DeduplicationScope.ZONE: {"b0", "b2"},
             DeduplicationScope.CELL: {"b0", "b1"},
         }[request_class.deduplication_scope]
-    assert allowed == expected
-    assert request.may_reject() == (proven or request_class.idempotency is Idempotency.IDEMPOTENT)
+    assert allowed_ids == expected_ids
+    assert request.may_reject() == (
+        is_proven_not_executed or request_class.idempotency is Idempotency.IDEMPOTENT
+    )
 
 
-def test_a_keyed_request_is_not_retried_after_its_deduplication_window() -> None:
-    request = request_after(KEYED, Outcome.TIMEOUT)
+def test_keyed_request_is_not_retried_after_its_deduplication_window() -> None:
+    request = request_after_first_attempt(KEYED, Outcome.TIMEOUT)
     backend = TrackedBackend(FLEET[0], 100.0)
     assert request.may_send(backend, 100.0 + KEYED.deduplication_window - 0.1, SETTINGS)
     assert not request.may_send(backend, 100.0 + KEYED.deduplication_window, SETTINGS)
 
 
-def test_without_hedging_no_second_attempt_is_sent_while_one_is_in_flight() -> None:
-    assert not request_after(IDEMPOTENT, None).may_send(TrackedBackend(FLEET[1], 100.0), 100.1, SETTINGS)
+def test_second_attempt_waits_for_the_end_of_the_first_without_hedging() -> None:
+    assert not request_after_first_attempt(IDEMPOTENT, None).may_send(
+        TrackedBackend(FLEET[1], 100.0), 100.1, SETTINGS
+    )
 
 
 @pytest.mark.parametrize(
     ("outcome", "left"), [(Outcome.RESET, KEYED.deduplication_window - 0.5), (Outcome.REJECTED, 0.0)]
 )
-def test_a_keyed_retry_must_be_written_within_its_deduplication_window(outcome: Outcome, left: float) -> None:
-    """What is decided in the window may wait for a connection until the backends have forgotten the key."""
+def test_keyed_retry_must_be_written_within_its_deduplication_window(outcome: Outcome, left: float) -> None:
+    """A retry sent within the window may wait for a connection until the backends have dropped its key."""
     play = Play()
     [sent] = sends(play.ask(request_class="order"))
     assert sent.write_within == 0.0
-    [again] = sends(play.end(sent, outcome, 0.5))
-    assert again.write_within == pytest.approx(left)
+    [retry] = sends(play.end(sent, outcome, 0.5))
+    assert retry.write_within == pytest.approx(left)
 
 
-def test_an_idempotent_retry_may_be_written_at_any_time() -> None:
+def test_idempotent_retry_may_be_written_at_any_time() -> None:
     play = Play()
     [sent] = sends(play.ask())
-    [again] = sends(play.end(sent, Outcome.RESET, 0.5))
-    assert again.write_within == 0.0
+    [retry] = sends(play.end(sent, Outcome.RESET, 0.5))
+    assert retry.write_within == 0.0
--- a/tests/decisions/test_request_ranking.py
+++ b/tests/decisions/test_request_ranking.py
@@ -11,48 +11,48 @@
 from tests.support.gateway import IDEMPOTENT, SETTINGS, Play
 
 
-def request_of_weight(priority_weight: float) -> PendingRequest:
+def create_request(priority_weight: float) -> PendingRequest:
     play = Play(replace(SETTINGS, classes=(replace(IDEMPOTENT, priority_weight=priority_weight),)))
     play.ask()
     return play.gateway.requests["r1"]
 
 
-def test_a_request_ranks_by_the_share_of_recent_ones_of_lower_value() -> None:
+def test_rank_is_the_share_of_recent_requests_of_lower_value() -> None:
     ranking = RequestRanking(AnswerTimes(SETTINGS), random.Random(1))
-    low, high = request_of_weight(1.0), request_of_weight(3.0)
+    low, high = create_request(1.0), create_request(3.0)
     for _ in range(50):
-        ranking.quantile(low)
-        ranking.quantile(high)
-    assert ranking.quantile(low) <= 51 / 101
-    assert ranking.quantile(high) >= 51 / 102
+        ranking.rank_request(low)
+        ranking.rank_request(high)
+    assert ranking.rank_request(low) <= 51 / 101
+    assert ranking.rank_request(high) >= 51 / 102
 
 
-def test_requests_of_equal_value_spread_over_all_ranks() -> None:
+def test_requests_of_equal_value_get_ranks_over_the_whole_range() -> None:
     ranking = RequestRanking(AnswerTimes(SETTINGS), random.Random(1))
-    request = request_of_weight(1.0)
-    quantiles = [ranking.quantile(request) for _ in range(100)]
-    assert min(quantiles) >= 0.0
-    assert max(quantiles) < 1.0
-    assert max(quantiles) - min(quantiles) > 0.9
+    request = create_request(1.0)
+    ranks = [ranking.rank_request(request) for _ in range(100)]
+    assert min(ranks) >= 0.0
+    assert max(ranks) < 1.0
+    assert max(ranks) - min(ranks) > 0.9
 
 
-def test_a_late_request_ranks_by_what_its_answer_still_counts() -> None:
+def test_late_request_is_ranked_by_its_late_weight() -> None:
     ranking = RequestRanking(AnswerTimes(SETTINGS), random.Random(1))
-    in_time, late = request_of_weight(1.0), request_of_weight(1.0)
+    in_time, late = create_request(1.0), create_request(1.0)
     late.too_late = True
     late.request_class = replace(late.request_class, late_weight_share=0.5)
     for _ in range(20):
-        ranking.quantile(in_time)
-    assert ranking.quantile(late) < 1 / 20
+        ranking.rank_request(in_time)
+    assert ranking.rank_request(late) < 1 / 20
 
 
-def test_only_recent_requests_are_compared() -> None:
+def test_request_is_compared_only_with_recent_requests() -> None:
     ranking = RequestRanking(AnswerTimes(SETTINGS), random.Random(1))
-    low = request_of_weight(1.0)
-    ranking.quantile(request_of_weight(9.0))
+    low = create_request(1.0)
+    ranking.rank_request(create_request(9.0))
     for _ in range(MAX_RECENT_REQUESTS - 1):
-        ranking.quantile(low)
+        ranking.rank_request(low)
     assert len(set(ranking.sorted_densities)) == 2
-    ranking.quantile(low)
+    ranking.rank_request(low)
     assert len(ranking.recent_densities) == len(ranking.sorted_densities) == MAX_RECENT_REQUESTS
-    assert len(set(ranking.sorted_densities)) == 1  # the first request was dropped
+    assert len(set(ranking.sorted_densities)) == 1  # the first request is no longer compared
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -13,24 +13,24 @@
 from tests.support.gateway import NOT_IDEMPOTENT, Play, sends
 
 
-def timeout_of_first_attempt(settings: Settings, budget: float, **changes: Any) -> float:
+def first_attempt_timeout(settings: Settings, budget: float, **changes: Any) -> float:
     play = Play(settings)
     play.gateway.retry_policy.budget.level = budget
     [sent] = sends(play.ask(**changes))
     return sent.timeout
 
 
-def test_first_attempts_fill_the_budget_up_to_its_capacity() -> None:
+def test_first_attempts_refill_the_budget_up_to_its_capacity() -> None:
     policy = Play().gateway.retry_policy
-    before = policy.budget.level
+    initial_level = policy.budget.level
     policy.record_first_attempt()
-    assert policy.budget.level == before + RETRIES_PER_REQUEST
+    assert policy.budget.level == initial_level + RETRIES_PER_REQUEST
     for _ in range(200):
         policy.record_first_attempt()
     assert policy.budget.level == MAX_SAVED_RETRIES
 
 
-def test_a_retry_costs_budget_unless_no_backend_executed_the_attempt_before() -> None:
+def test_retry_uses_budget_unless_the_previous_attempt_was_not_executed() -> None:
     policy = Play().gateway.retry_policy
     policy.record_retry(proves_not_executed=True)
     assert policy.budget.level == 1.0
@@ -38,9 +38,10 @@
     assert policy.budget.level == 0.0
 
 
-def test_an_attempt_times_out_early_where_a_retry_may_follow() -> None:
-    # 8 mean answer times, of an eighth of the objective each until one is known
-    assert timeout_of_first_attempt(UNLIMITED, 5.0) == pytest.approx(1.0)
+def test_attempt_times_out_early_if_a_retry_may_follow() -> None:
+    # The time-out is 8 mean answer times; before the first answer, the mean is assumed to be 1/8 of the
+    # latency objective.
+    assert first_attempt_timeout(UNLIMITED, 5.0) == pytest.approx(1.0)
 
 
 @pytest.mark.parametrize(
@@ -52,22 +53,22 @@
     ],
     ids=["no budget", "no further attempt", "not idempotent"],
 )
-def test_an_attempt_may_last_until_the_deadline_where_no_retry_may_follow(
+def test_attempt_may_last_until_the_deadline_if_no_retry_may_follow(
     settings: Settings, budget: float, request_class: str
 ) -> None:
-    timeout = timeout_of_first_attempt(settings, budget, request_class=request_class)
+    timeout = first_attempt_timeout(settings, budget, request_class=request_class)
     assert timeout == pytest.approx(4.0)
 
 
-def test_an_attempt_far_slower_than_the_mean_times_out_and_is_retried_elsewhere() -> None:
-    for name, again in (("read", True), ("order", True), ("pay", False)):
+def test_attempt_far_slower_than_the_mean_is_retried_on_another_backend() -> None:
+    for class_name, may_retry in (("read", True), ("order", True), ("pay", False)):
         play = Play(UNLIMITED)
         answer_all(play, 0.05, 60)
         play.gateway.retry_policy.budget.level = 5.0
-        [lost] = sends(play.ask(request_class=name))
-        assert (lost.timeout < 1.1) is again  # those not idempotent have no other attempt to wait for
-        found = play.end(lost, Outcome.TIMEOUT, lost.timeout)
-        assert [s.backend != lost.backend for s in sends(found)] == [True] * again
+        [lost] = sends(play.ask(request_class=class_name))
+        assert (lost.timeout < 1.1) is may_retry  # a request that is not idempotent gets no other attempt
+        actions = play.end(lost, Outcome.TIMEOUT, lost.timeout)
+        assert [s.backend != lost.backend for s in sends(actions)] == [True] * may_retry
 
 
 @pytest.mark.parametrize(
@@ -79,7 +80,7 @@
         (Outcome.RESET, False),
     ],
 )
-def test_an_attempt_that_was_not_executed_is_retried_without_budget(outcome: Outcome, again: bool) -> None:
+def test_attempt_that_was_not_executed_is_retried_without_budget(outcome: Outcome, again: bool) -> None:
     play = Play(UNLIMITED)
     answer_all(play, 0.05, 60)
     play.gateway.retry_policy.budget.level = 0.5
--- a/tests/decisions/test_timers.py
+++ b/tests/decisions/test_timers.py
@@ -1,4 +1,4 @@
-"""The timers: discovery calls, and the period of the reports of use."""
+"""The timers: retries of discovery calls, the periodic tick, and the period of the reports of use."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.support.gateway import SETTINGS, Play, sends
 
 
-def test_failed_discovery_calls_set_one_retry_timer() -> None:
+def test_failed_discovery_calls_set_only_one_retry_timer() -> None:
     play = Play(replace(SETTINGS, poll_discovery=True, max_poll_interval=10.0))
     assert sum(isinstance(a, SubscribeEndpoints) for a in play.actions) == 1
     for _ in range(10):
@@ -17,32 +17,32 @@
     assert sum(isinstance(a, SetTimer) and a.token == 1 for a in play.actions) == 1
     play.at(3.0, TimerFired(1))
     assert sum(isinstance(a, SubscribeEndpoints) for a in play.actions) == 2
-    assert sends(play.ask())  # the old list still applies
+    assert sends(play.ask())  # the gateway still uses the old list
 
 
-def test_the_tick_sets_the_next_one_a_period_later() -> None:
+def test_tick_sets_the_next_tick_one_period_later() -> None:
     play = Play()
     period = play.gateway.timers.period
-    [first] = [action for action in play.actions if isinstance(action, SetTimer)]
-    assert first.token == TICK_TOKEN
-    assert 0.0 <= first.delay < period
-    assert play.at(first.delay, TimerFired(TICK_TOKEN)) == [SetTimer(period, TICK_TOKEN)]
+    [first_timer] = [action for action in play.actions if isinstance(action, SetTimer)]
+    assert first_timer.token == TICK_TOKEN
+    assert 0.0 <= first_timer.delay < period
+    assert play.at(first_timer.delay, TimerFired(TICK_TOKEN)) == [SetTimer(period, TICK_TOKEN)]
 
 
-def test_an_unknown_token_is_ignored() -> None:
+def test_timer_with_an_unknown_token_is_ignored() -> None:
     assert Play().at(1.0, TimerFired(DISCOVERY_TOKEN + 1)) == []
 
 
-def test_gossip_takes_half_of_what_a_peer_takes_in() -> None:
+def test_gossip_takes_up_half_of_the_receive_rate() -> None:
     settings = replace(SETTINGS, gossip=True, gossip_receive_rate=100.0, instance_count=200)
     assert settings.instance_count / gossip_period(settings) == 100.0 / 2
 
 
-def test_the_counter_is_used_only_where_gossip_would_be_rare() -> None:
-    frequent = replace(
+def test_counter_is_used_only_if_gossip_would_be_infrequent() -> None:
+    frequent_gossip = replace(
         SETTINGS, gossip=True, gossip_receive_rate=200.0, counter_enabled=True, counter_timeout=0.05
     )
-    assert not uses_counter(frequent)
-    rare = replace(frequent, instance_count=200)
-    assert uses_counter(rare)
-    assert report_period(rare) < gossip_period(rare)
+    assert not uses_counter(frequent_gossip)
+    rare_gossip = replace(frequent_gossip, instance_count=200)
+    assert uses_counter(rare_gossip)
+    assert report_period(rare_gossip) < gossip_period(rare_gossip)
