--- a/ingress/interface/events.py
+++ b/ingress/interface/events.py
@@ -26,7 +26,7 @@
     RESET = "reset"
     """The connection closed after the attempt was completely written and before the answer came."""
     CANCELLED = "cancelled"
-    """This gateway gave it up."""
+    """This gateway cancelled the attempt."""
     SUPERSEDED = "moot"
     """The attempt was not sent: it was no longer needed, or the host had no means to send it in time."""
 
--- a/ingress/interface/settings.py
+++ b/ingress/interface/settings.py
@@ -36,7 +36,7 @@
 def check_number(name: str, value: float, minimum: float = 0.0) -> None:
     """Raise a ValueError with the field's name unless `value` is finite and at least `minimum`."""
     if not minimum <= value < inf:
-        raise ValueError(f"{name}: {value!r} is not a finite number of at least {minimum:g}")
+        raise ValueError(f"{name}: {value!r} is not a finite number >= {minimum:g}")
 
 
 @dataclass(frozen=True, slots=True)
@@ -44,6 +44,7 @@
     """A class of requests: its latency objective, its deadline, its priority and its idempotency."""
 
     name: str
+    """Identifies the class in requests."""
     latency_objective: float
     """Seconds within which an answer has its full value."""
     deadline: float
@@ -81,6 +82,7 @@
     """A customer's plan: quota, concurrency limit, hard ceiling and weights.  A limit of 0 means no limit."""
 
     name: str
+    """Identifies the plan in requests."""
     rate: float = 0.0
     """Quota of each customer over all gateways, in units per second."""
     burst: float = 0.0
