--- a/ingress/decisions/admission.py
+++ b/ingress/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission by quota: whether a request is inside its customer's quota, as far as this gateway can tell."""
+"""Admission by quota: checks whether requests are inside their customers' limits, as far as is known here."""
 
 import ingress.interface as api
 from ingress.decisions.counted_use import COUNT_EPOCH_S
@@ -7,39 +7,46 @@
 from ingress.decisions.request import PendingRequest
 from ingress.decisions.usage_counter import UsageCounter
 
-LOW_SLICE_SHARE = 0.5  # of a slice's capacity: below this level the counter is asked
-MIN_COUNTER_TIMEOUTS_LEFT = 4  # counter time-outs that a request must have left to await a reply
-TOTAL_ERROR_BURSTS = 0.5  # bursts by which the counter's totals may be off at a sampling rate of 0
-# Without a reply for this long, the counter is taken to be down rather than overloaded.
+# Share of a slice's capacity.  The counter is asked before the slice falls below this level, which is lowered
+# in proportion to the sampling rate.
+LOW_SLICE_SHARE = 0.5
+# A request awaits the counter's reply only if its deadline is further away than this many counter time-outs.
+MIN_COUNTER_TIMEOUTS_LEFT = 4
+# Bursts by which the counter's totals may be wrong at a sampling rate of 0; at a rate of 1 they are right.
+TOTAL_ERROR_BURSTS = 0.5
+# Without a successful call for this long, the counter is considered down rather than overloaded.
 COUNTER_DOWN_AFTER_S = COUNT_EPOCH_S / 3
-# A total that showed a used up quota is relied on for this long.
+# For this long after a total that showed too little quota, no request is admitted beyond an undersized slice.
 EXHAUSTED_TOTAL_LIFETIME_S = COUNT_EPOCH_S / 3
 
 
 class Admission:
-    """The customers seen lately, and the checks of their limits.
+    """The customers that have sent requests recently, and the checks of requests against their limits.
 
-    A request is checked against the customer's slice, against the counter's totals, or against the peers'
-    reports, whichever of these is known.
+    A request is checked against the counter's total or the peers' reports if they are recent, and otherwise
+    against this gateway's slice of the customer's quota.
     """
 
-    def __init__(self, settings: api.Settings, counter: UsageCounter, peers: PeerReports) -> None:
+    def __init__(self, settings: api.Settings, counter: UsageCounter, peer_reports: PeerReports) -> None:
         self.settings = settings
         self.counter = counter
-        self.peers = peers
+        self.peer_reports = peer_reports
         self.customers_by_key: dict[str, Customer] = {}
-        """The customers seen lately, by their name in requests."""
+        """The customers that have sent requests recently, by the name that requests give."""
         self.customers_by_hash: dict[int, Customer] = {}
-        """The same, by the hash that gossip names them by."""
+        """The same customers, by the hash that identifies them in gossip messages."""
 
     def find_customer(self, now: float, event: api.Request, plan: api.Plan, process_age: float) -> Customer:
-        """The customer of a request, created or resized as needed; `process_age` is in seconds."""
+        """Return the customer of a request; create it or resize its slices if needed.
+
+        `process_age` is the age of this process in seconds.
+        """
         customer = self.customers_by_key.get(event.customer)
         if customer is not None:
-            customer.resize(now, event)
+            customer.resize_slices(now, event)
             if customer.plan is plan:
                 return customer
-        # A customer that is new, or whose plan has changed, begins with new limits.
+        # A customer that is new, or whose plan has changed, starts with new limits.
         customer = Customer(
             event, plan, now, process_age, self.counter.enabled, self.settings.max_request_units
         )
@@ -48,80 +55,94 @@
         return customer
 
     def evict_idle(self, now: float) -> None:
-        """Drops idle customers whose state equals a new one's; their last use is too little to report."""
-        idle = [customer for customer in self.customers_by_key.values() if customer.evictable(now)]
+        """Remove idle customers whose state equals that of a new customer.
+
+        Use of theirs that was not reported yet is discarded, because it is too small to matter.
+        """
+        idle = [customer for customer in self.customers_by_key.values() if customer.is_evictable(now)]
         for customer in idle:
             del self.customers_by_key[customer.key]
             self.customers_by_hash.pop(customer.hash, None)
             self.counter.discard_unreported(customer)
 
     def needs_counter(self, now: float, request: PendingRequest) -> bool:
-        """Whether to ask the counter first.
+        """Return whether to ask the counter before the request is decided.
 
-        That is so if a local slice is low, a reply can come in time, and the complete quota may have enough.
+        This is so if a local slice is low, the reply can come in time, and the complete quota may have
+        enough units for the request.
         """
-        # This comes first, as it refills the buckets: skipping a refill would round differently.
+        # The slices are checked first because the check also refills them: leaving out a refill would change
+        # how their levels are rounded.
         if self._slices_suffice(now, request):
             return False
         if request.too_late or not self._has_time_for_reply(now, request):
             return False
-        return self._may_learn_of_more(now, request)
+        return self._may_find_more_quota(now, request)
 
     def _slices_suffice(self, now: float, request: PendingRequest) -> bool:
+        """Return whether the slices of the ceiling and of the quota have enough units without the counter."""
         if self.ceiling_slice_short(now, request):
             return False
         customer = request.customer
         low_level = LOW_SLICE_SHARE * self.counter.sampling.rate * customer.slice.capacity
-        return customer.slice_fits(now, request.units + low_level)
+        return customer.has_units_in_slice(now, request.units + low_level)
 
     def _has_time_for_reply(self, now: float, request: PendingRequest) -> bool:
         return request.deadline - now > MIN_COUNTER_TIMEOUTS_LEFT * self.settings.counter_timeout
 
-    def _may_learn_of_more(self, now: float, request: PendingRequest) -> bool:
-        """Whether the last total is old, or shows enough left."""
+    def _may_find_more_quota(self, now: float, request: PendingRequest) -> bool:
+        """Return whether a new total may show enough units: the last one is old, or it showed enough."""
         estimate = request.customer.estimate
-        # A counter that takes all calls is asked again once the quota may have gained the request's units.
+        # A counter that serves all calls is asked again once the quota has refilled by the request's units.
         asks_often = self.counter.sampling.rate >= 1
         min_age = request.units / request.plan.rate if asks_often else estimate.lifetime
         return now - estimate.reported_at > min_age or estimate.level(now) >= request.units
 
     def ceiling_slice_short(self, now: float, request: PendingRequest) -> bool:
-        """Whether the local slice of the ceiling holds less than the request takes."""
+        """Return whether the local slice of the ceiling has fewer units than the request needs."""
         ceiling = request.customer.ceiling
         return request.plan.ceiling_rate > 0 and not ceiling.slice.fits(now, request.units)
 
     def inside_quota(self, now: float, request: PendingRequest) -> bool:
-        """Whether the request is inside the quota, or likely enough to be, and the concurrency limit."""
-        # The rate is checked first, as this refills the slice: skipping a refill would round differently.
-        inside_rate = self._inside_rate(now, request)
-        return inside_rate and not self._at_concurrency_limit(request)
+        """Return whether the request is inside its customer's quota and concurrency limit.
 
-    def _at_concurrency_limit(self, request: PendingRequest) -> bool:
+        If the complete quota is not known, a request that is probably inside it counts as inside.
+        """
+        # The rate is checked first because the check also refills the slice: leaving out a refill would
+        # change how its level is rounded.
+        is_inside_rate = self._is_inside_rate(now, request)
+        return is_inside_rate and not self._is_at_concurrency_limit(request)
+
+    def _is_at_concurrency_limit(self, request: PendingRequest) -> bool:
         customer = request.customer
         return (
             request.plan.concurrency_limit > 0 and customer.attempts_in_flight >= customer.concurrency_limit
         )
 
-    def _inside_rate(self, now: float, request: PendingRequest) -> bool:
+    def _is_inside_rate(self, now: float, request: PendingRequest) -> bool:
         customer = request.customer
         if not request.plan.rate:
             return True
-        if self._use_elsewhere_is_known(now, customer):
+        if self._is_peer_use_known(now, customer):
             return customer.estimate.level(now) >= request.units + self._estimate_margin(request)
-        return customer.slice_fits(now, request.units) or self._admits_without_count(now, request)
+        return customer.has_units_in_slice(now, request.units) or self._may_admit_unsampled(now, request)
 
     def _estimate_margin(self, request: PendingRequest) -> float:
-        """Units that the estimate must show beyond the request's own.
+        """Return the units that the estimate must show in addition to the request's own.
 
-        An overloaded counter learns late of the use that it is not asked about, so its totals are off.
+        An overloaded counter is not asked about each request and learns of the other requests' use late, so
+        its totals are inaccurate.
         """
-        if not request.customer.undersized_slice or request.accounting.counted_units:
+        if not request.customer.has_undersized_slice or request.accounting.counted_units:
             return 0.0
         return TOTAL_ERROR_BURSTS * (1 - self.counter.sampling.rate) * request.plan.burst
 
-    def _admits_without_count(self, now: float, request: PendingRequest) -> bool:
-        """Whether to admit beyond an undersized slice what an overloaded counter could not be asked about."""
-        if not request.customer.undersized_slice:
+    def _may_admit_unsampled(self, now: float, request: PendingRequest) -> bool:
+        """Return whether to admit a request beyond an undersized slice although the counter was not asked.
+
+        This is done only while the counter is overloaded, not while it is down.
+        """
+        if not request.customer.has_undersized_slice:
             return False
         if now - self.counter.last_reply_at >= COUNTER_DOWN_AFTER_S:
             return False
@@ -129,10 +150,10 @@
         total_is_recent = now - estimate.reported_at < EXHAUSTED_TOTAL_LIFETIME_S
         if total_is_recent and estimate.level(now) < request.units:
             return False
-        return self.counter.admits_without_count(request)
+        return self.counter.should_admit_unsampled(request)
 
-    def _use_elsewhere_is_known(self, now: float, customer: Customer) -> bool:
-        """Whether there is a recent total of the counter, or a recent report of each peer."""
+    def _is_peer_use_known(self, now: float, customer: Customer) -> bool:
+        """Return whether there is a recent total from the counter, or a recent report from each peer."""
         if self.counter.enabled:
-            return customer.estimate.fresh(now)
-        return self.peers.all_reported(now, customer.peer_indices(self.settings))
+            return customer.estimate.is_fresh(now)
+        return self.peer_reports.have_all_reported(now, customer.peer_indices(self.settings))
--- a/ingress/decisions/ceiling.py
+++ b/ingress/decisions/ceiling.py
@@ -1,4 +1,4 @@
-"""The hard ceiling of a customer's plan: a limit that all gateways together must never exceed."""
+"""The hard ceiling of a customer's plan: a limit on units that all gateways together must not exceed."""
 
 from dataclasses import dataclass
 
@@ -6,7 +6,7 @@
 from ingress.decisions.counted_use import MIN_REPORTED_BURSTS, NO_COUNT
 from ingress.decisions.token_bucket import Charge, TokenBucket
 
-# Share of the ceiling's burst beyond the quota's that a new process may use at once.
+# Share of the difference between the ceiling's burst and the quota's that a new process may use at once.
 RESERVE_SHARE = 0.5
 
 
@@ -15,27 +15,27 @@
     """Use of a ceiling by all gateways, as a reply of the shared counter shows it."""
 
     count_name: int
-    """Name of the count that the counter replied for."""
+    """Name of the count that the reply is for."""
     known_since: float
-    """Time in seconds since when this gateway knows all use in the count."""
-    others_total: float
+    """Start of the count or of this process, whichever is later: time in seconds."""
+    peer_units: float
     """Units that the other gateways have added to the count."""
-    others_increase: float
-    """Those of them that were added since the reply before."""
-    own_total: float
+    peer_units_increase: float
+    """Units that the other gateways have added since the previous reply."""
+    own_units: float
     """Units that this gateway has used since the count began."""
 
 
 class Ceiling:
-    """This gateway's slice of a ceiling, and the complete ceiling as replies of the counter show it."""
+    """This gateway's slice of a ceiling, and the complete ceiling as the counter's replies show it."""
 
     def __init__(self, plan: api.Plan, assigned_instances: int, process_age: float, now: float) -> None:
         self.plan = plan
         self.reserve = RESERVE_SHARE * max(0.0, plan.ceiling_burst - plan.burst)
         """Units that a new process may use at once.
 
-        It does not know what was used before it began.  It must not hand out the complete ceiling again, only
-        a share of what a customer inside its quota never uses."""
+        A new process does not know what was used before it started, so it must not hand out the complete
+        ceiling again.  It may hand out a share of the units that a customer inside its quota never uses."""
         initial_level = min(plan.ceiling_burst, self.reserve + plan.ceiling_rate * process_age)
         self.slice = TokenBucket(
             plan.ceiling_rate / assigned_instances,
@@ -44,41 +44,47 @@
             now,
         )
         """This gateway's part of the ceiling."""
-        self.shared = TokenBucket(plan.ceiling_rate, plan.ceiling_burst, initial_level, now)
-        """The complete ceiling by the counter's last reply, less what this gateway has used since."""
-        self.followed_count = NO_COUNT
-        """Name of the count that `shared` was last updated from."""
+        self.fleet_bucket = TokenBucket(plan.ceiling_rate, plan.ceiling_burst, initial_level, now)
+        """The complete ceiling as of the counter's last reply, minus this gateway's use since then."""
+        self.last_count_name = NO_COUNT
+        """Name of the count that `fleet_bucket` was last updated from."""
 
-    def fits(self, now: float, units: float, assigned_instances: int, total_is_current: bool) -> bool:
-        """Whether the slice holds `units`, or the complete ceiling does by a total of this very moment.
+    def has_units(self, now: float, units: float, assigned_instances: int, total_is_current: bool) -> bool:
+        """Return whether the slice or, if `total_is_current`, the complete ceiling has `units`.
 
-        The latter leaves room for what the other gateways may send before they report it.
+        `total_is_current` says that the counter's total has arrived at `now`.  The complete ceiling must also
+        have room for the units that the other gateways may use before they report them, beyond half of the
+        ceiling slack.
         """
-        unreported_by_others = (
+        unreported_by_peers = (
             assigned_instances - 1
         ) * MIN_REPORTED_BURSTS * self.plan.burst - self.plan.ceiling_slack / 2
-        shared_fits = total_is_current and self.shared.fits(now, units + max(0.0, unreported_by_others))
-        return self.slice.fits(now, units) or shared_fits
+        is_in_fleet_bucket = total_is_current and self.fleet_bucket.fits(
+            now, units + max(0.0, unreported_by_peers)
+        )
+        return self.slice.fits(now, units) or is_in_fleet_bucket
 
     def take(self, units: float) -> list[Charge]:
-        """Takes `units` from both buckets and returns the charges; the slice is not taken below zero."""
+        """Charge `units` to both buckets and return the charges; the slice does not fall below zero."""
         return [
-            Charge(self.shared, self.shared.take(units)),
+            Charge(self.fleet_bucket, self.fleet_bucket.take(units)),
             Charge(self.slice, self.slice.take(units, 0.0)),
         ]
 
-    def follow(self, now: float, use: CeilingUse, count_was_lost: bool) -> None:
-        """Updates the complete ceiling's bucket from a reply of the counter.
+    def update_from_count(self, now: float, use: CeilingUse, count_was_lost: bool) -> None:
+        """Update the bucket of the complete ceiling from a reply of the counter.
 
-        A count that is new, or that the counter has lost, does not show earlier use.  The bucket is then
-        assumed to have held the reserve when the use became known.
+        A count that is new, or that the counter has lost, does not include earlier use.  In that case the
+        bucket is assumed to have held the reserve at `use.known_since`, or at `now` if the count was lost.
         """
-        self.shared.refill(now)
-        if self.followed_count == use.count_name and not count_was_lost:
-            self.shared.level -= max(0.0, use.others_increase)
+        self.fleet_bucket.refill(now)
+        if self.last_count_name == use.count_name and not count_was_lost:
+            self.fleet_bucket.level -= max(0.0, use.peer_units_increase)
             return
         known_since = now if count_was_lost else use.known_since
-        refilled = min(self.shared.capacity, self.reserve + self.shared.rate * (now - known_since))
-        level = refilled - max(0.0, use.others_total) - use.own_total
-        self.shared.level = max(0.0, level) if self.followed_count == NO_COUNT else level
-        self.followed_count = use.count_name
+        refilled = min(
+            self.fleet_bucket.capacity, self.reserve + self.fleet_bucket.rate * (now - known_since)
+        )
+        level = refilled - max(0.0, use.peer_units) - use.own_units
+        self.fleet_bucket.level = max(0.0, level) if self.last_count_name == NO_COUNT else level
+        self.last_count_name = use.count_name
--- a/ingress/decisions/count_learning.py
+++ b/ingress/decisions/count_learning.py
@@ -1,4 +1,4 @@
-"""Learning from the totals of the shared counter: what is left of a customer's quota and of its ceiling."""
+"""Updates from the shared counter's totals: how much is left of a customer's quota and of its ceiling."""
 
 import ingress.interface as api
 from ingress.decisions.ceiling import CeilingUse
@@ -7,37 +7,46 @@
 
 
 class CountLearning:
-    """Updates a customer's estimate, its ceiling and its counted use from a reply of the counter."""
+    """The update of a customer's quota estimate, ceiling and counted use from a total of the counter."""
 
     def __init__(self, settings: api.Settings) -> None:
         self.max_request_units = settings.max_request_units
 
     def apply_total(self, now: float, call: CounterCall, total: float, process_started_at: float) -> None:
-        """The counter has added the units of a call and replied with the count's new `total` in units."""
+        """Apply a successful reply: with the units of the call added, the count is `total` units."""
         customer = call.customer
         count = customer.counted_use
-        count.record_added(call.units)
-        others_total = total - count.own_total
-        others_increase = others_total - count.others_total
-        # This comes before the ceiling's update: it may add to the unreported use.
-        count.level = self._level_by_total(now, customer, total)
+        count.record_added_units(call.units)
+        peer_units = total - count.own_units
+        peer_units_increase = peer_units - count.peer_units
+        # The level is computed before the ceiling is updated, because it may add to the unreported use.
+        count.quota_level = self._level_from_total(now, customer, total)
         if customer.plan.ceiling_rate:
-            self._update_ceiling(now, customer, others_total, others_increase, process_started_at)
-        customer.estimate.record_total(now, count.level, others_increase, count.started_at)
-        count.others_total = max(others_total, 0.0)
+            self._update_ceiling(now, customer, peer_units, peer_units_increase, process_started_at)
+        customer.estimate.record_total(now, count.quota_level, peer_units_increase, count.started_at)
+        count.peer_units = max(peer_units, 0.0)
 
-    def _level_by_total(self, now: float, customer: Customer, total: float) -> float:
-        """Units left of the complete quota, before the requests that await the reply are taken off."""
+    def _level_from_total(self, now: float, customer: Customer, total: float) -> float:
+        """Return the units left of the complete quota; the requests awaiting the reply are not charged yet.
+
+        On the first total of a new count, add known earlier use to the unreported use.
+        """
         count = customer.counted_use
         plan = customer.plan
         awaiting_units = sum(
             request.units for request in customer.awaiting_counter if request.accounting.counted_units
         )
-        level = plan.burst + plan.rate * (now - count.started_at) - total - count.unreported + awaiting_units
-        if count.awaits_first_total and customer.estimate.fresh(now):
-            # A new count does not show earlier use: what is known of it is carried over.
+        level = (
+            plan.burst
+            + plan.rate * (now - count.started_at)
+            - total
+            - count.unreported_units
+            + awaiting_units
+        )
+        if count.awaits_first_total and customer.estimate.is_fresh(now):
+            # The total of a new count does not include earlier use, so the known part of it is carried over.
             carried_over = max(0.0, level - max(0.0, customer.estimate.level(now)))
-            count.unreported += carried_over
+            count.unreported_units += carried_over
             level -= carried_over
         count.awaits_first_total = False
         return level
@@ -46,8 +55,8 @@
         self,
         now: float,
         customer: Customer,
-        others_total: float,
-        others_increase: float,
+        peer_units: float,
+        peer_units_increase: float,
         process_started_at: float,
     ) -> None:
         count = customer.counted_use
@@ -55,11 +64,11 @@
         use = CeilingUse(
             count_name=count.name,
             known_since=max(count.started_at, process_started_at),
-            others_total=others_total,
-            others_increase=others_increase,
-            own_total=count.own_total + count.unreported - awaiting_units,
+            peer_units=peer_units,
+            peer_units_increase=peer_units_increase,
+            own_units=count.own_units + count.unreported_units - awaiting_units,
         )
-        # The other gateways take back units of requests that they refused in the end.  A larger decrease
-        # means that the counter has lost the count.
-        count_was_lost = others_increase < -self.max_request_units * customer.assigned_instances
-        customer.ceiling.follow(now, use, count_was_lost)
+        # A total falls when other gateways take back the units of requests that they rejected.  A larger
+        # decrease than that can explain means that the counter has lost the count.
+        count_was_lost = peer_units_increase < -self.max_request_units * customer.assigned_instances
+        customer.ceiling.update_from_count(now, use, count_was_lost)
--- a/ingress/decisions/count_sampling.py
+++ b/ingress/decisions/count_sampling.py
@@ -1,8 +1,8 @@
-"""Sampling: which requests the shared counter is asked about when it cannot take all of them.
+"""Sampling: chooses the requests that the shared counter is asked about when it cannot serve all calls.
 
-The sampling rate falls when calls fail and rises when replies are fast.  Below a rate of 1, requests whose
-admission beyond the quota would cost more are sampled with a higher probability, and so are those whose
-customers are likely to be beyond their quotas.
+The sampling rate falls when calls fail and rises when replies are fast.  At a rate below 1, two kinds of
+requests are sampled with a higher probability: those that cost more if they are sent beyond the quota, and
+those whose customers are probably over their quotas.
 """
 
 import random
@@ -13,105 +13,116 @@
 from ingress.decisions.request import PendingRequest
 
 INITIAL_SAMPLING_RATE = 0.5
-MIN_SAMPLING_RATE = 0.05  # keeps some calls going to a counter that fails, to notice its recovery
+MIN_SAMPLING_RATE = 0.05  # keeps some calls going to a failing counter, so that its recovery is noticed
 SAMPLING_RATE_DECREASE = 0.5  # share by which a failed call lowers the rate
 SAMPLING_RATE_INCREASE = 0.02  # added to the rate by each fast reply
-# A reply within this share of the time-out is fast: the counter has capacity left.  A distant gateway may
-# spend half of the time-out on the round trip.
+# A reply within this share of the time-out is fast: it shows that the counter has spare capacity.  The share
+# is above one half because a distant gateway may spend half of the time-out on the round trip.
 FAST_REPLY_TIMEOUT_SHARE = 0.6
 INITIAL_QUOTA_AVAILABLE_PROBABILITY = 0.5
-LOW_SLICE_SHARE = 0.2  # of a request's units: below this slice level the customer is likely over its quota
-LIKELY_OVER_QUOTA_FACTOR = 2.0  # multiplies the sampling rate of requests that are likely over quota
+# Share of a request's units.  If the slice holds less than that, the customer is probably over its quota.
+LIKELY_OVER_QUOTA_LEVEL_SHARE = 0.2
+LIKELY_OVER_QUOTA_FACTOR = 2.0  # multiplies the sampling probability of requests that are probably over quota
 MIN_MEAN_COST = 1e-9  # avoids a division by zero
 
 
 class CountSampling:
-    """The rate and the choice of the sampled requests, and how often the counter showed quota available."""
+    """The sampling rate, the choice of the sampled requests, and how often quota was available for them."""
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self.counter_timeout = settings.counter_timeout
-        """Seconds after which a call is given up."""
+        """Seconds after which a call to the counter is abandoned."""
         self.rng = rng
-        """Chooses the sampled requests."""
+        """Random number generator for the choice of the sampled requests."""
         self.rate = INITIAL_SAMPLING_RATE
-        """Share of the requests with a low slice that are asked about; failed calls lower it."""
+        """Share of the requests with a low slice that the counter is asked about."""
         self.rate_decreased_at = NEVER
-        """When the rate was last lowered (s)."""
+        """Time in seconds when the rate was last lowered."""
         self.mean_over_quota_cost = 0.0
-        """Running mean of what requests would cost beyond the quota (weight); 0 before the first request."""
+        """Running mean of the weight that a request costs beyond the quota; 0 before the first request."""
         self.quota_available_probability = {
             plan.name: INITIAL_QUOTA_AVAILABLE_PROBABILITY for plan in settings.plans
         }
-        """By plan: the share of the replies that showed enough quota for a request that awaited them."""
+        """Share of the requests awaiting a reply for which it showed enough quota, by the plan's name."""
 
-    def sample(self, request: PendingRequest, ceiling_short: bool) -> bool:
-        """Whether to ask about the request; if so its units are to be counted with the call.
+    def sample_request(self, request: PendingRequest, is_ceiling_slice_short: bool) -> bool:
+        """Return whether to ask the counter about the request; if so, add its units to the unreported use.
 
-        A request with too small a slice of the ceiling is always asked about.  Where requests may be admitted
-        without being asked about, each sampled one is counted for those like it that were not.
+        The counter is always asked if the slice of the ceiling has too few units for the request.  Where
+        requests may be admitted without asking, each sampled request is counted with a multiple of its units,
+        to represent similar requests that were not sampled.
         """
         probability = self._sampling_probability(request)
-        represents_others = request.customer.undersized_slice and self._admits_unknown(request.plan)
-        sampled = ceiling_short or self.rng.random() < probability
+        represents_others = request.customer.has_undersized_slice and self._is_worth_sending_unsampled(
+            request.plan
+        )
+        sampled = is_ceiling_slice_short or self.rng.random() < probability
         if sampled:
-            weight = probability if represents_others and not ceiling_short else 1.0
+            weight = probability if represents_others and not is_ceiling_slice_short else 1.0
             request.accounting.counted_units = request.units / weight
-            request.customer.counted_use.unreported += request.accounting.counted_units
+            request.customer.counted_use.unreported_units += request.accounting.counted_units
         request.accounting.sampled = represents_others and not sampled
         return sampled
 
     def _sampling_probability(self, request: PendingRequest) -> float:
+        """Return the probability to sample the request, and include its cost in the mean cost."""
         cost = self._over_quota_cost(request)
         smoothing = SLOW_SMOOTHING if self.mean_over_quota_cost else 1.0
         self.mean_over_quota_cost += (cost - self.mean_over_quota_cost) * smoothing
-        factor = LIKELY_OVER_QUOTA_FACTOR if self._likely_over_quota(request) else 1.0
+        factor = LIKELY_OVER_QUOTA_FACTOR if self._is_likely_over_quota(request) else 1.0
         base_rate = self.rate * factor
         relative_cost = self.rate + (1 - self.rate) * cost / max(self.mean_over_quota_cost, MIN_MEAN_COST)
         return min(1.0, max(MIN_SAMPLING_RATE, base_rate * relative_cost))
 
     def _over_quota_cost(self, request: PendingRequest) -> float:
-        """What the request costs if it is sent beyond the quota, in units of weight."""
+        """Return the weight that the request costs if it is sent beyond the quota."""
         plan = request.plan
         weight = plan.over_quota_cost_share * plan.weight_factor * request.request_class.priority_weight
         return weight * request.units
 
-    def _likely_over_quota(self, request: PendingRequest) -> bool:
-        """Whether the slice holds so little of the request that its customer is likely beyond its quota."""
-        return request.customer.slice.level < LOW_SLICE_SHARE * request.units
+    def _is_likely_over_quota(self, request: PendingRequest) -> bool:
+        """Return whether the slice is so low that the customer is probably over its quota."""
+        return request.customer.slice.level < LIKELY_OVER_QUOTA_LEVEL_SHARE * request.units
 
-    def _admits_unknown(self, plan: api.Plan) -> bool:
-        """Whether a request of the plan gains on average if it is sent without knowing the quota left.
+    def _is_worth_sending_unsampled(self, plan: api.Plan) -> bool:
+        """Return whether sending a request of the plan pays on average if the quota left is not known.
 
-        With probability p it gains its weight, otherwise it loses the share c of it: p > (1 - p) * c.
+        Let p be the probability that quota is available, and c the share of its weight that a request costs
+        beyond the quota.  The request gains its weight with probability p and loses c of it otherwise, so
+        sending pays if p > (1 - p) * c.
         """
         cost = plan.over_quota_cost_share
         return self.quota_available_probability[plan.name] > cost / (1 + cost)
 
-    def admits_without_count(self, request: PendingRequest) -> bool:
-        """Whether a request that was not sampled gains on average if it is sent.
+    def should_admit_unsampled(self, request: PendingRequest) -> bool:
+        """Return whether sending a request that was not sampled pays on average.
 
-        It does not if its customer sends more than its quota: then requests return early at each gateway.
+        It does not pay for a customer that sends more than its quota.  Such a customer is recognised by its
+        requests, which return to each gateway before the slice has refilled by their units.
         """
         if request.returned_early:
             return False
-        if request.is_client_retry and self._likely_over_quota(request):
+        if request.is_client_retry and self._is_likely_over_quota(request):
             return False
-        return self._admits_unknown(request.plan)
+        return self._is_worth_sending_unsampled(request.plan)
 
     def record_reply(self, latency: float) -> None:
-        """A call was answered after `latency` seconds."""
+        """Raise the rate if a call was answered fast; `latency` is in seconds."""
         if latency < FAST_REPLY_TIMEOUT_SHARE * self.counter_timeout:
             self.rate = min(1.0, self.rate + SAMPLING_RATE_INCREASE)
 
     def record_failure(self, now: float) -> None:
-        """A call failed: all gateways together may send more calls than the counter can take."""
-        # Calls that are in flight together fail together: they lower the rate once.
+        """Lower the rate after a failed call: the gateways may send more calls than the counter can serve."""
+        # Calls that were in flight together also fail together, so they lower the rate only once.
         if now - self.rate_decreased_at > self.counter_timeout:
             self.rate = max(MIN_SAMPLING_RATE, self.rate * (1 - SAMPLING_RATE_DECREASE))
             self.rate_decreased_at = now
 
-    def record_availability(self, now: float, customer: Customer) -> None:
-        """Updates the probability from the requests that awaited a total, which the estimate now includes."""
+    def record_quota_availability(self, now: float, customer: Customer) -> None:
+        """Update the plan's probability from the requests that awaited a total.
+
+        The customer's estimate must include that total already.
+        """
         probabilities = self.quota_available_probability
         plan = customer.plan.name
         for request in customer.awaiting_counter:
--- a/ingress/decisions/counted_use.py
+++ b/ingress/decisions/counted_use.py
@@ -1,68 +1,75 @@
-"""This gateway's part in the count that the shared counter keeps of one customer's use."""
+"""This gateway's share of the count in which the shared counter adds up one customer's use."""
 
 from dataclasses import dataclass
 from math import inf
 
 from ingress.decisions.constants import NEVER
 
-COUNT_EPOCH_S = 30.0  # a count serves this long, then one with a new name begins
-COUNT_LIFETIME_S = 2 * COUNT_EPOCH_S  # the longest that the counter may keep a name
-MIN_REPORTED_BURSTS = 0.125  # bursts of use that are reported without a request to ask about
-NO_COUNT = -1  # the name of no count
+COUNT_EPOCH_S = 30.0  # time for which a count is used; then a count with a new name begins
+COUNT_LIFETIME_S = 2 * COUNT_EPOCH_S  # longest time for which the counter may keep a count
+MIN_REPORTED_BURSTS = (
+    0.125  # bursts of unreported use above which it is reported without waiting for a request
+)
+NO_COUNT = -1  # the name before the first count
 
-EPOCH_PHASES = 1000  # starts of an epoch, among which customers are spread by their hashes
-EPOCH_BITS = 24  # low bits of a count's name, which number its epoch; the customer's hash is above them
+EPOCH_PHASES = 1000  # different times at which epochs begin; a customer's hash chooses one of them
+EPOCH_BITS = (
+    24  # low bits of a count's name, which hold the number of its epoch; the customer's hash is above
+)
 EPOCH_MASK = (1 << EPOCH_BITS) - 1
-LEASE_BIT = 1 << (EPOCH_BITS - 1)  # its flip names a count's lease; no count of a time near has that name
+# Inverting this bit in a count's name gives the name of its lease.  It is the highest bit of the epoch's
+# number, so a count with the same name would be 2^23 epochs away.
+LEASE_BIT = 1 << (EPOCH_BITS - 1)
 
 
 @dataclass(slots=True)
 class CountedUse:
-    """What this gateway has added to a customer's count, and what the last reply showed of the others."""
+    """What this gateway has added to a customer's count, and what the last reply showed of its peers."""
 
     started_at: float
     """Time in seconds when the epoch of this count began."""
     in_debt_since: float = inf
-    """Time in seconds since when each total has shown a quota in debt; infinite if the last one did not."""
+    """Time in seconds since when all totals have shown a quota in debt; infinite if the last one did not."""
     name: int = NO_COUNT
     """Name of the count at the shared counter."""
-    own_total: float = 0.0
+    own_units: float = 0.0
     """Units that this gateway has added to the count."""
-    others_total: float = 0.0
-    """Units that the other gateways had added by the last reply."""
-    unreported: float = 0.0
-    """Units used here that were not added to the count yet; negative if some are to be taken back."""
-    level: float = 0.0
-    """Units left of the complete quota by the last reply, not limited to the range from 0 to the burst."""
+    peer_units: float = 0.0
+    """Units that the other gateways had added to the count by the time of the last reply."""
+    unreported_units: float = 0.0
+    """Units used here that were not added to the count yet; negative if units are to be taken back."""
+    quota_level: float = 0.0
+    """Units left of the complete quota by the last reply; may be below 0 or above the burst."""
     awaits_first_total: bool = False
     """Whether the count is new and no total of it is known yet."""
-    call_in_flight: bool = False
+    has_call_in_flight: bool = False
     """Whether a call for this count has no reply yet."""
     lease_requested_at: float = NEVER
     """Time in seconds of the last request for the lease to correct the count."""
 
     @property
     def lease_name(self) -> int:
-        """Name of the lease that entitles one gateway to correct the count."""
+        """The name of the lease that entitles one gateway to correct the count."""
         return self.name ^ LEASE_BIT
 
-    def choose_name(self, now: float, customer_hash: int) -> None:
-        """Takes the name of the epoch at `now`; a new epoch begins a new count.
+    def advance_epoch(self, now: float, customer_hash: int) -> None:
+        """Begin a new count with the name of the epoch at `now`, unless that is the name already.
 
         Epochs of different customers begin at different times, so that new counts are spread evenly.
         """
-        phase = customer_hash % EPOCH_PHASES / EPOCH_PHASES  # share of an epoch
+        # Share of an epoch by which this customer's epochs begin before the multiples of `COUNT_EPOCH_S`.
+        phase = customer_hash % EPOCH_PHASES / EPOCH_PHASES
         epoch = int(now / COUNT_EPOCH_S + phase)
         name = customer_hash << EPOCH_BITS | epoch & EPOCH_MASK
         if name == self.name:
             return
         self.name = name
         self.started_at = (epoch - phase) * COUNT_EPOCH_S
-        self.own_total = 0.0
-        self.others_total = 0.0
+        self.own_units = 0.0
+        self.peer_units = 0.0
         self.awaits_first_total = True
 
-    def record_added(self, units: float) -> None:
-        """The counter has added `units` of the unreported use."""
-        self.unreported -= units
-        self.own_total += units
+    def record_added_units(self, units: float) -> None:
+        """Record that the counter has added `units` of the unreported use to the count."""
+        self.unreported_units -= units
+        self.own_units += units
--- a/ingress/decisions/gossip_exchange.py
+++ b/ingress/decisions/gossip_exchange.py
@@ -1,4 +1,4 @@
-"""Gossip: the exchange of customers' use between gateways, instead of a count at the shared counter."""
+"""Gossip: gateways report their customers' use to each other instead of to the shared counter."""
 
 import ingress.interface as api
 from ingress.decisions.action_sink import ActionSink
@@ -9,29 +9,29 @@
 
 
 class GossipExchange:
-    """Takes in the reports of peers and sends this gateway's own."""
+    """The exchange of use reports with the other gateways."""
 
     def __init__(
-        self, peers: PeerReports, admission: Admission, process: ProcessStart, sink: ActionSink
+        self, peer_reports: PeerReports, admission: Admission, process: ProcessStart, sink: ActionSink
     ) -> None:
-        self.peers = peers
+        self.peer_reports = peer_reports
         self.admission = admission
         self.process = process
         self.sink = sink
 
     def receive(self, now: float, event: api.GossipReceived) -> None:
-        """Adds the use that a peer reports to the estimates of the customers that are known here."""
-        for customer_hash, units in self.peers.read_report(event, now, self.process.incarnation):
+        """Take the use that a peer reports off the estimates of the customers that are known here."""
+        for customer_hash, units in self.peer_reports.read_report(event, now, self.process.incarnation):
             customer = self.admission.customers_by_hash.get(customer_hash)
             if customer is not None:
-                customer.estimate.record_others_use(now, units)
+                customer.estimate.record_peer_use(now, units)
 
     def send_report(self) -> None:
-        """Reports running totals, the largest unreported use first, as far as one message holds."""
-        customers = [c for c in self.admission.customers_by_key.values() if c.counted_use.unreported]
-        customers.sort(key=lambda customer: -abs(customer.counted_use.unreported))
-        totals = ((customer.hash, customer.total_used) for customer in customers)
+        """Send the total use of as many customers as fit into one message, most unreported use first."""
+        customers = [c for c in self.admission.customers_by_key.values() if c.counted_use.unreported_units]
+        customers.sort(key=lambda customer: -abs(customer.counted_use.unreported_units))
+        totals = ((customer.hash, customer.total_used_units) for customer in customers)
         report = format_report(self.process.incarnation, totals)
         for customer in customers[: report.included]:
-            customer.counted_use.unreported = 0.0
+            customer.counted_use.unreported_units = 0.0
         self.sink.emit(api.SendGossip(report.text))
--- a/ingress/decisions/peer_reports.py
+++ b/ingress/decisions/peer_reports.py
@@ -1,4 +1,4 @@
-"""Reports of use from other gateways, where the deployment lets gateways send messages to each other."""
+"""Reports of use from other gateways, in deployments where gateways can send messages to each other."""
 
 from dataclasses import dataclass, field
 from typing import NamedTuple
@@ -7,7 +7,7 @@
 from ingress.decisions.constants import NEVER
 from ingress.gossip_codec import UseReport, parse_report
 
-MAX_MISSED_REPORTS = 4  # report periods without a report after which a peer's use counts as unknown
+MAX_MISSED_REPORTS = 4  # report periods without a report after which the use of a peer counts as unknown
 
 
 class ReportedUse(NamedTuple):
@@ -19,38 +19,38 @@
 
 @dataclass(slots=True)
 class PeerState:
-    """What is known of one other gateway."""
+    """The state of one other gateway, as its reports show it."""
 
     incarnation: int = 0
-    """Start of its process in Unix milliseconds; 0 before the first report."""
+    """Start time of the peer's process in Unix milliseconds; 0 before the first report."""
     reported_at: float = NEVER
-    """Time of its last valid report, in seconds."""
+    """Time in seconds of the peer's last valid report."""
     totals: dict[int, float] = field(default_factory=dict)
-    """Units that its process has used, by the customer's hash."""
+    """Units that the peer's process has used, by the customer's hash."""
 
 
 class PeerReports:
-    """The latest reports of all peers: what each has used, and whether it still reports."""
+    """The latest reports of all peers: how much each has used, and whether it still reports."""
 
     def __init__(self, period: float) -> None:
         self.period = period
         """Seconds between two reports of a peer."""
         self.peers: dict[int, PeerState] = {}
-        """What is known of each gateway that has reported, by its index."""
+        """The state of each gateway that has reported, by its index."""
 
-    def all_reported(self, now: float, peers: set[int]) -> bool:
-        """Whether each of the peers with these indices has reported lately."""
+    def have_all_reported(self, now: float, peer_indices: set[int]) -> bool:
+        """Return whether each of the peers with these indices has reported recently."""
         max_age = MAX_MISSED_REPORTS * self.period
-        for index in peers:
+        for index in peer_indices:
             peer = self.peers.get(index)
             if peer is None or now - peer.reported_at >= max_age:
                 return False
         return True
 
     def read_report(self, event: api.GossipReceived, now: float, own_incarnation: int) -> list[ReportedUse]:
-        """The use that a message reports beyond what earlier ones did.
+        """Return the use in a message that earlier messages of the peer did not report.
 
-        Nothing is learned from a malformed message, nor from one of a process that has ended.
+        A malformed message, or one of an earlier process of the peer, is ignored.
         """
         report = parse_report(event.text)
         if report is None:
@@ -66,8 +66,10 @@
         return self._update_totals(peer, report, own_incarnation)
 
     def _update_totals(self, peer: PeerState, report: UseReport, own_incarnation: int) -> list[ReportedUse]:
+        """Update the peer's totals and return their increases."""
         increases = []
-        # What a peer used before this process began is not recent use: its first total is only a baseline.
+        # The first total of a peer that started before this process includes use that may be long past, so it
+        # serves only as the baseline for later totals.
         peer_started_later = report.incarnation >= own_incarnation
         for customer_hash, total in report.totals:
             last = peer.totals.get(customer_hash, 0.0 if peer_started_later else total)
--- a/ingress/decisions/quota_request.py
+++ b/ingress/decisions/quota_request.py
@@ -1,4 +1,4 @@
-"""What the quota has to know of a request: its units, and what they were charged to."""
+"""The part of a request that its customer's quota needs: its units, and what they were charged to."""
 
 from __future__ import annotations
 
@@ -12,7 +12,7 @@
     """What a request has taken from its customer's limits, and what the shared counter knows of it."""
 
     inside_quota: bool = False
-    """Whether it was admitted inside the quota."""
+    """Whether the request was admitted inside the quota."""
     charges: list[Charge] = field(default_factory=list)
     """Units taken from each bucket."""
     estimate_charge: float = 0.0
@@ -20,16 +20,16 @@
     reported_units: float = 0.0
     """Units that the counter knows of, or will get with a later call."""
     counted_units: float = 0.0
-    """Units that a call to the counter has added for it."""
+    """Units that a call to the counter has added for the request."""
     sampled: bool = False
-    """The counter was not asked about it: in the count, the calls for other requests stand for it."""
+    """Whether the counter was not asked because sampled requests represent this one in the count."""
 
 
 class QuotaRequest:
-    """A request as its customer's quota sees it; `PendingRequest` adds the rest."""
+    """A request as its customer's quota needs it; `PendingRequest` adds the rest of its state."""
 
     def __init__(self, request_id: str, units: float) -> None:
         self.id = request_id
         self.units = units
-        """What it takes from the quota."""
+        """Units that the request takes from the quota."""
         self.accounting = QuotaAccounting()
--- a/ingress/decisions/token_bucket.py
+++ b/ingress/decisions/token_bucket.py
@@ -1,10 +1,10 @@
-"""A token bucket whose clock is passed in."""
+"""A token bucket whose clock is passed in by the caller."""
 
 from dataclasses import dataclass
 from math import inf
 from typing import NamedTuple
 
-ROUNDING_TOLERANCE = 1e-9  # units: sums of fractions may fall short by this much
+ROUNDING_TOLERANCE = 1e-9  # units by which rounding errors may make a sum of fractions too small
 
 
 @dataclass(slots=True)
@@ -12,18 +12,19 @@
     """A bucket of units that refills at a constant rate up to its capacity."""
 
     rate: float
-    """Units that flow in per second."""
+    """Units per second by which the bucket refills."""
     capacity: float
-    """Units that the bucket holds at most."""
+    """Units up to which the bucket refills."""
     level: float
-    """Units that it held at `updated_at`; below zero if more was taken than it held."""
+    """Units in the bucket at `updated_at`; below zero if more was taken than the bucket held."""
     updated_at: float
-    """Time of the last refill, in seconds."""
+    """Time in seconds of the last refill."""
 
     def fits(self, now: float, units: float, capacity: float | None = None) -> bool:
-        """Refills the bucket and returns whether it holds `units`.
+        """Refill the bucket and return whether it holds `units`.
 
-        `capacity` replaces its own for this call, so that it may hold more for one large request.
+        `capacity` replaces the bucket's own capacity in this call, so that the bucket can collect the units
+        for a request larger than that.
         """
         capacity = self.capacity if capacity is None else capacity
         refilled = self.level + self.rate * (now - self.updated_at)
@@ -32,24 +33,24 @@
         return self.level >= units - ROUNDING_TOLERANCE
 
     def refill(self, now: float) -> None:
-        """Adds what has flowed in since the last refill."""
+        """Add the units that have accrued since the last refill."""
         self.fits(now, 0.0)
 
     def take(self, units: float, floor: float = -inf) -> float:
-        """Takes up to `units`, but leaves the level at `floor` at least; returns the units taken."""
+        """Take up to `units` without letting the level fall below `floor`; return the units taken."""
         taken = min(units, self.level - floor)
         self.level -= taken
         return taken
 
-    def refund(self, units: float) -> None:
-        """Puts units back, up to the capacity; negative units are taken, also below zero."""
+    def refund_units(self, units: float) -> None:
+        """Put units back, up to the capacity; negative units are taken, and the level may fall below zero."""
         self.level = min(max(self.capacity, self.level), self.level + units)
 
     def rescale(self, now: float, factor: float) -> None:
-        """Multiplies rate and capacity by `factor`.
+        """Multiply the rate and the capacity by `factor`.
 
-        The level is only capped, not scaled up: a bucket refilled here would exceed the limit that it shares
-        with other gateways.
+        The level is only limited to the new capacity, and never raised: units added here would exceed the
+        limit that the bucket shares with other gateways.
         """
         self.refill(now)
         self.rate *= factor
--- a/ingress/decisions/usage_counter.py
+++ b/ingress/decisions/usage_counter.py
@@ -1,7 +1,7 @@
-"""Use of the shared counter: asks it about requests, reports use to it, and learns from its replies.
+"""Use of the shared counter: asks it about requests, reports use to it, and processes its replies.
 
-Each customer has a count at the counter, to which every gateway adds the units that it sends on.  The count's
-total shows how much is left of the customer's quota.
+Each customer has a count at the counter, to which every gateway adds the units of the requests that it sends.
+The count's total shows how much is left of the customer's quota.
 """
 
 import random
@@ -18,7 +18,7 @@
 
 
 class UsageCounter:
-    """The shared counter as the other modules of the package see it."""
+    """The interface of the shared counter for the other modules of the package."""
 
     def __init__(
         self, settings: api.Settings, rng: random.Random, enabled: bool, emit: Callable[[api.Action], None]
@@ -26,68 +26,68 @@
         self.enabled = enabled
         """Whether this deployment uses the counter."""
         self.last_reply_at = NEVER
-        """Time of the last successful call's reply (s)."""
+        """Time in seconds of the last reply to a successful call."""
         self.sampling = CountSampling(settings, rng)
-        """Which requests it is asked about."""
+        """The choice of the requests that the counter is asked about."""
         self.calls = CounterCalls(emit)
         """The calls that add use to counts."""
         self.learning = CountLearning(settings)
-        """What follows from a count's total."""
+        """The updates of customers from the totals of their counts."""
         self.leases = CorrectionLeases(settings.counter_timeout, self.calls, emit)
-        """The corrections of counts."""
+        """The corrections of counts that are outside the range of their token buckets."""
 
-    def admits_without_count(self, request: PendingRequest) -> bool:
-        """Whether a request that was not sampled gains on average if it is sent."""
-        return self.sampling.admits_without_count(request)
+    def should_admit_unsampled(self, request: PendingRequest) -> bool:
+        """Return whether sending a request that was not sampled pays on average."""
+        return self.sampling.should_admit_unsampled(request)
 
     def request_total(
         self,
         now: float,
         customer: Customer,
         request: PendingRequest | None = None,
-        ceiling_short: bool = False,
+        is_ceiling_slice_short: bool = False,
     ) -> bool:
-        """Adds this gateway's use to the customer's count; returns whether `request` is to await the reply.
+        """Add this gateway's use to the customer's count; return whether `request` has to await the reply.
 
-        The request's own units are added with the call, so that two gateways that ask at the same time do not
-        both get the same units.  Without a request, returns whether the call was made.
+        The call adds the request's own units too, so that two gateways that ask at the same time do not both
+        get the same units.  Without a request, return whether the call was sent.
         """
         if not self.enabled:
             return False
-        if customer.counted_use.call_in_flight:
-            return request is not None  # the reply that is due serves this request as well
-        if request is not None and not self.sampling.sample(request, ceiling_short):
+        if customer.counted_use.has_call_in_flight:
+            return request is not None  # the reply to that call serves this request too
+        if request is not None and not self.sampling.sample_request(request, is_ceiling_slice_short):
             return False
-        self.calls.send(now, customer)
+        self.calls.report_use(now, customer)
         return True
 
     def mark_unreported(self, customer: Customer) -> None:
-        """The customer has use that was not reported to the counter."""
-        self.calls.to_report[customer.key] = customer
+        """Mark the customer as having use that was not reported to the counter yet."""
+        self.calls.customers_to_report[customer.key] = customer
 
     def withdraw_units(self, request: PendingRequest) -> None:
-        """Takes back the units that were counted for a request which is not sent: refusals use no quota."""
+        """Take back the units counted for a request that is not sent: a rejected request uses no quota."""
         accounting = request.accounting
         if not accounting.counted_units:
             return
-        request.customer.counted_use.unreported -= accounting.counted_units
+        request.customer.counted_use.unreported_units -= accounting.counted_units
         self.mark_unreported(request.customer)
         accounting.counted_units = 0.0
 
     def discard_unreported(self, customer: Customer) -> None:
-        """Does not report the customer's use: it is evicted, and the rest is too little to matter."""
-        self.calls.to_report.pop(customer.key, None)
+        """Discard the unreported use of a customer that is evicted; it is too small to matter."""
+        self.calls.customers_to_report.pop(customer.key, None)
 
     def report_large_use(self, now: float) -> None:
-        """Reports use that has become large while no request was asked about."""
+        """Report use that has become large while the counter was not asked about any request."""
         if self.enabled:
             self.calls.report_large_use(now)
 
     def handle_reply(self, now: float, event: api.CounterReply, process_started_at: float) -> Customer | None:
-        """Learns from a reply; returns the customer whose requests awaited it, if any."""
+        """Process a reply; return the customer whose call it answers, or None if there is none."""
         if self.leases.handle_reply(now, event):
             return None
-        call = self.calls.complete(event.name)
+        call = self.calls.complete_call(event.name)
         if call is None:
             return None
         if event.outcome is api.Outcome.OK:
@@ -102,15 +102,15 @@
         self.last_reply_at = now
         self.sampling.record_reply(event.latency)
         self.learning.apply_total(now, call, event.total, process_started_at)
-        self.sampling.record_availability(now, call.customer)
+        self.sampling.record_quota_availability(now, call.customer)
 
     def _record_failure(self, now: float, event: api.CounterReply, call: CounterCall) -> None:
         self.sampling.record_failure(now)
         if event.outcome is api.Outcome.TIMEOUT:
-            # The units were most likely added: the counter still executes a call that was given up.
-            call.customer.counted_use.record_added(call.units)
+            # The units were most likely added: the counter still executes a call that has timed out here.
+            call.customer.counted_use.record_added_units(call.units)
 
     def correct_count(self, now: float, customer: Customer) -> None:
-        """Corrects a count outside the bucket's range, then reports use that has become large."""
-        self.leases.correct(now, customer, self.sampling.rate)
-        self.calls.report_if_large(now, customer)
+        """Request the correction of a count outside its range, then report use that has become large."""
+        self.leases.request_if_out_of_range(now, customer, self.sampling.rate)
+        self.calls.report_use_if_large(now, customer)
--- a/tests/decisions/test_count_sampling.py
+++ b/tests/decisions/test_count_sampling.py
@@ -1,4 +1,4 @@
-"""The sampling rate, and which requests are sampled first."""
+"""The sampling rate, and which requests are sampled with a higher probability."""
 
 from __future__ import annotations
 
@@ -13,7 +13,7 @@
 
 
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.TIMEOUT])
-def test_failing_counter_is_asked_less_until_it_recovers(outcome: Outcome) -> None:
+def test_failing_counter_is_asked_less_often_until_it_recovers(outcome: Outcome) -> None:
     play = Play(LARGE_FLEET)
     calls = 0
     for n in range(300):
@@ -52,27 +52,27 @@
     for call in calls:
         play.at(0.001, CounterReply(call.name, Outcome.TIMEOUT))
     assert counter.sampling.rate == pytest.approx(0.5)
-    [late] = increments(play.ask(0.2, customer="c9", assigned_instances=40))
-    play.at(0.0, CounterReply(late.name, Outcome.REJECTED))
+    [late_call] = increments(play.ask(0.2, customer="c9", assigned_instances=40))
+    play.at(0.0, CounterReply(late_call.name, Outcome.REJECTED))
     assert counter.sampling.rate == pytest.approx(0.25)
 
 
-def sampled_at_slice_level(level: float) -> int:
-    """Of 400 customers with this slice level, how many are asked about at a sampling rate of 0.3."""
+def count_sampled_at_slice_level(level: float) -> int:
+    """Return for how many of 400 customers with this slice level a request is sampled, at a rate of 0.3."""
     play = Play(LARGE_FLEET)
     play.gateway.counter.sampling.rate = 0.3
-    sampled = 0
+    sampled_count = 0
     for n in range(400):
         play.ask(assigned_instances=100, units=2.0, customer=f"c{n}")
         customer = play.gateway.admission.customers_by_key[f"c{n}"]
-        customer.counted_use.call_in_flight = False
+        customer.counted_use.has_call_in_flight = False
         customer.awaiting_counter = []
         customer.slice.level = level
-        before = len(counter_calls(play))
+        call_count_before = len(counter_calls(play))
         play.ask(assigned_instances=100, units=2.0, customer=f"c{n}")
-        sampled += len(counter_calls(play)) - before
-    return sampled
+        sampled_count += len(counter_calls(play)) - call_count_before
+    return sampled_count
 
 
-def test_requests_likely_over_quota_are_sampled_first() -> None:
-    assert sampled_at_slice_level(0.0) > 1.5 * sampled_at_slice_level(1.0) > 100
+def test_requests_likely_over_quota_are_sampled_more_often() -> None:
+    assert count_sampled_at_slice_level(0.0) > 1.5 * count_sampled_at_slice_level(1.0) > 100
--- a/tests/decisions/test_gossip_exchange.py
+++ b/tests/decisions/test_gossip_exchange.py
@@ -1,4 +1,4 @@
-"""Gossip: reports of use between gateways, and admission by them."""
+"""Gossip: reports of use between gateways, and the admission that is based on them."""
 
 from __future__ import annotations
 
@@ -12,16 +12,16 @@
 from tests.support.quota import GOSSIPING, spend
 
 
-def test_a_gateway_admits_what_the_reported_use_of_its_peer_leaves() -> None:
-    sender, other = Play(GOSSIPING), Play(replace(GOSSIPING, instance_index=1))
-    other.at(0.0, GossipReceived(0, "1"))
+def test_gateway_admits_what_its_peer_has_left_of_the_quota() -> None:
+    sender, receiver = Play(GOSSIPING), Play(replace(GOSSIPING, instance_index=1))
+    receiver.at(0.0, GossipReceived(0, "1"))
     spend(sender, 4)
     sender.at(0.25, TimerFired(0))
     report = [a for a in sender.actions if isinstance(a, SendGossip)][-1]
     assert len(report.text.encode()) <= 256
-    assert spend(other, 1) == 1
-    other.at(0.25, GossipReceived(0, report.text))
-    assert 0 < spend(other, 20) <= 4  # burst 8, of which 4 were used there and 1 here
+    assert spend(receiver, 1) == 1
+    receiver.at(0.25, GossipReceived(0, report.text))
+    assert 0 < spend(receiver, 20) <= 4  # of a burst of 8, the sender has used 4 units and this gateway 1
 
 
 @pytest.mark.parametrize("text", ["", "x", "1 zz", "1 a:b:c", "1 a:", "\x00\u20ac", "1 " + "f" * 250])
@@ -30,16 +30,16 @@
     assert play.at(0.0, GossipReceived(1, text)) == []
 
 
-def test_without_recent_reports_a_customer_has_its_slice() -> None:
+def test_customer_is_limited_to_its_slice_without_recent_reports() -> None:
     play = Play(GOSSIPING)
     play.at(0.0, GossipReceived(1, "1"))
     play.now += 5.0
     assert spend(play, 20) == 4
 
 
-def test_a_customer_near_its_quota_has_its_slice_once_reports_cease() -> None:
+def test_customer_near_its_quota_is_limited_to_its_slice_once_reports_stop() -> None:
     play = Play(GOSSIPING)
-    for tick in range(40):  # the peer uses nearly all of the quota, then falls silent
+    for tick in range(40):  # the peer uses nearly all of the quota, then stops reporting
         play.at(0.25, GossipReceived(1, f"200000 {crc32(b'c'):x}:{tick * 5}"))
         spend(play, 1)
     play.now += 8.0
--- a/tests/decisions/test_peer_reports.py
+++ b/tests/decisions/test_peer_reports.py
@@ -1,4 +1,4 @@
-"""The reports of peers: what each adds to the known use, and how long it is valid."""
+"""The reports of peers: the use that each adds, and how long a report is valid."""
 
 from __future__ import annotations
 
@@ -8,11 +8,11 @@
 from tests.support.quota import GOSSIPING, customer_of, spend
 
 
-def test_a_repeated_report_or_one_of_an_ended_process_adds_no_use() -> None:
+def test_repeated_report_or_report_of_an_ended_process_adds_no_use() -> None:
     play = Play(GOSSIPING)
     spend(play, 1)
     peers, key = play.gateway.peers, customer_of(play).hash
-    # Use from before this process began:
+    # This use is from before this process began.
     assert peers.read_report(GossipReceived(1, f"5 {key:x}:10"), 100.0, 6) == []
     assert peers.read_report(GossipReceived(1, f"5 {key:x}:30"), 100.0, 6) == [(key, 2.0)]
     assert peers.read_report(GossipReceived(1, f"5 {key:x}:30"), 100.0, 6) == []
@@ -20,20 +20,20 @@
     assert peers.read_report(GossipReceived(1, f"6 {key:x}:10"), 100.0, 6) == [(key, 1.0)]
 
 
-def test_the_first_total_of_an_older_peer_is_only_a_baseline() -> None:
+def test_first_total_of_an_older_peer_is_only_a_baseline() -> None:
     peers = Play(GOSSIPING).gateway.peers
     assert peers.read_report(GossipReceived(1, "5 a:10"), 100.0, 9) == []
-    # The first total of another customer, in a later message:
+    # The first total of another customer comes in a later message.
     assert peers.read_report(GossipReceived(1, "5 b:9000"), 100.0, 9) == []
     assert peers.read_report(GossipReceived(1, "5 b:9010"), 100.0, 9) == [(11, 1.0)]
 
 
-def test_all_have_reported_only_while_no_report_is_too_old() -> None:
+def test_all_peers_have_reported_only_while_no_report_is_too_old() -> None:
     reports = PeerReports(period=0.25)
-    assert reports.all_reported(100.0, set())
+    assert reports.have_all_reported(100.0, set())
     reports.read_report(GossipReceived(1, "1"), 100.0, 1)
     reports.read_report(GossipReceived(2, "1"), 100.5, 1)
-    assert reports.all_reported(100.9, {1, 2})
-    assert not reports.all_reported(100.9, {1, 2, 3})
-    assert not reports.all_reported(101.0, {1, 2})
-    assert reports.all_reported(101.0, {2})
+    assert reports.have_all_reported(100.9, {1, 2})
+    assert not reports.have_all_reported(100.9, {1, 2, 3})
+    assert not reports.have_all_reported(101.0, {1, 2})
+    assert reports.have_all_reported(101.0, {2})
--- a/tests/decisions/test_quota_estimate.py
+++ b/tests/decisions/test_quota_estimate.py
@@ -1,4 +1,4 @@
-"""The estimate of a customer's complete quota."""
+"""The estimate of what is left of a customer's complete quota."""
 
 from __future__ import annotations
 
@@ -8,8 +8,8 @@
 from tests.support.gateway import BASIC
 
 
-def test_idle_time_refills_the_quota_when_use_elsewhere_is_reported_late() -> None:
+def test_idle_time_refills_the_quota_when_peer_use_is_reported_late() -> None:
     estimate = QuotaEstimate(BASIC, 100.0, False)  # rate 2, burst 8
     estimate.record_total(100.0, 8.0, 0.0, 100.0)
-    estimate.record_others_use(130.0, 10.0)  # 10 units over 30 s, in which the bucket gained 60
+    estimate.record_peer_use(130.0, 10.0)  # 10 units were used in 30 s, in which the quota refilled by 60
     assert estimate.level(130.0) == pytest.approx(8.0)
--- a/tests/decisions/test_token_bucket.py
+++ b/tests/decisions/test_token_bucket.py
@@ -15,24 +15,24 @@
     assert bucket.level == 8.0
 
 
-def test_bucket_may_hold_more_for_one_large_request() -> None:
+def test_bucket_may_fill_beyond_its_capacity_for_a_large_request() -> None:
     bucket = TokenBucket(rate=2.0, capacity=8.0, level=8.0, updated_at=0.0)
     assert not bucket.fits(1.0, 10.0)
     assert bucket.fits(2.0, 10.0, capacity=10.0)
     assert bucket.level == 10.0
 
 
-def test_take_stops_at_the_floor_and_refund_at_the_capacity() -> None:
+def test_level_stays_above_the_floor_when_taking_and_below_the_capacity_when_refunding() -> None:
     bucket = TokenBucket(rate=0.0, capacity=8.0, level=3.0, updated_at=0.0)
     assert bucket.take(5.0, floor=0.0) == 3.0
     assert bucket.take(5.0) == 5.0
     assert bucket.level == -5.0
-    bucket.refund(100.0)
+    bucket.refund_units(100.0)
     assert bucket.level == 8.0
 
 
 @pytest.mark.parametrize(("factor", "level"), [(0.5, 4.0), (2.0, 6.0)])
-def test_rescaled_bucket_gains_no_units(factor: float, level: float) -> None:
+def test_rescaling_does_not_add_units(factor: float, level: float) -> None:
     bucket = TokenBucket(rate=2.0, capacity=8.0, level=4.0, updated_at=0.0)
     bucket.rescale(1.0, factor)
     assert (bucket.rate, bucket.capacity, bucket.level) == (2.0 * factor, 8.0 * factor, level)
--- a/tests/decisions/test_usage_counter.py
+++ b/tests/decisions/test_usage_counter.py
@@ -1,4 +1,4 @@
-"""Calls to the shared counter: which requests share one, and what is added and taken back."""
+"""Calls to the shared counter: which requests share a call, and which units are added and taken back."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 from tests.support.quota import COUNTING, LARGE_FLEET, count_started_at, counter_calls, increments
 
 
-def test_request_awaits_the_call_in_flight_and_is_counted_with_the_next() -> None:
+def test_request_awaits_the_call_in_flight_and_is_counted_with_the_next_call() -> None:
     play = Play(LARGE_FLEET)
     play.gateway.counter.sampling.rate = 1.0
     play.now = count_started_at(3)
@@ -18,7 +18,7 @@
     assert len(counter_calls(play)) == 1
     answer = play.at(0.001, CounterReply(counter_calls(play)[-1].name, Outcome.OK, 4.0, 0.001))
     assert len(sends(answer)) == 2  # burst 8
-    assert [call.add for call in increments(answer)] == [4.0]  # the units of the second
+    assert [call.add for call in increments(answer)] == [4.0]  # the units of the second request
 
 
 def test_first_total_includes_the_units_of_the_request_that_awaits_it() -> None:
@@ -29,8 +29,8 @@
     assert len(sends(play.at(0.001, CounterReply(call.name, Outcome.OK, 1.0)))) == 1
 
 
-def test_units_of_a_rejected_request_are_taken_back_at_once() -> None:
-    """Otherwise rejected requests would use up the quota of a customer that sends too many."""
+def test_units_of_a_rejected_request_are_taken_back_immediately() -> None:
+    """Otherwise the rejected requests of a customer that sends too many would use up its quota."""
     play = Play(LARGE_FLEET)
     play.gateway.counter.sampling.rate = 1.0
     play.now = count_started_at(3)
@@ -49,5 +49,5 @@
     assert sends(play.at(0.001, CounterReply(call.name, Outcome.OK, 8.0, 0.001)))
 
 
-def test_use_is_reported_each_quarter_second_however_many_gateways() -> None:
+def test_report_period_is_a_quarter_second_for_a_large_fleet() -> None:
     assert Play(LARGE_FLEET).gateway.timers.period == 0.25
