--- a/tests/decisions/test_ceiling.py
+++ b/tests/decisions/test_ceiling.py
@@ -44,8 +44,8 @@
 
 
 def test_lost_count_leaves_no_more_than_the_reserve() -> None:
-    play, passed = send_first_request_of_process(60.0, 0.0)
-    assert passed
+    play, is_sent = send_first_request_of_process(60.0, 0.0)
+    assert is_sent
     customer = customer_of(play)
     count = customer.counted_use
     use = CeilingUse(
@@ -80,9 +80,9 @@
             play.gateway.process.started_at = play.now
         for step in range(60):
             for play in plays:
-                passed = spend(play, 1)
+                sent_count = spend(play, 1)
                 refilled = level + plan.ceiling_rate * (play.now - updated_at)
-                level = min(plan.ceiling_burst, refilled) - passed
+                level = min(plan.ceiling_burst, refilled) - sent_count
                 updated_at = play.now
                 play.now = 100.0 + 3.0 * restart + 0.05 * (step + 1)
             assert level > -plan.ceiling_slack
@@ -90,25 +90,25 @@
 
 def test_new_process_starts_with_an_empty_ceiling_and_never_exceeds_it() -> None:
     play = Play(replace(SETTINGS, plans=(SMALL_CEILING_PLAN,)))
-    passed = 0
+    sent_count = 0
     for _ in range(200):
         sent_attempts = sends(play.ask(0.02))
-        passed += len(sent_attempts)
+        sent_count += len(sent_attempts)
         for sent in sent_attempts:
             play.end(sent, Outcome.OK, 0.001)
-    assert passed <= SMALL_CEILING_PLAN.ceiling_rate / 2 * (play.now - 100.0)
+    assert sent_count <= SMALL_CEILING_PLAN.ceiling_rate / 2 * (play.now - 100.0)
 
 
 def test_resizing_or_evicting_a_customer_does_not_refill_its_ceiling() -> None:
     slow = replace(SMALL_CEILING_PLAN, rate=100.0, burst=100.0, ceiling_rate=0.02, ceiling_burst=8.0)
     play = Play(replace(SETTINGS, plans=(slow,)))
     play.now += 10000.0
-    passed = 0
+    sent_count = 0
     for n in range(300):
         if n % 20 == 0:
             play.at(65.0 if n == 100 else 0.0, TimerFired(0))
         sent_attempts = sends(play.ask(0.0, assigned_instances=2 + n % 2))
-        passed += len(sent_attempts)
+        sent_count += len(sent_attempts)
         for sent in sent_attempts:
             play.end(sent, Outcome.OK, 0.001)
-    assert passed <= 8.0 / 2 + 0.02 * 100
+    assert sent_count <= 8.0 / 2 + 0.02 * 100
