--- a/ingress/settings_codec.py
+++ b/ingress/settings_codec.py
@@ -1,7 +1,8 @@
-"""The wire names of settings and load reports, which the simulator and the gateway's peers share.
+"""Decode settings, and translate the names of the figures in load reports.
 
-The simulator's `Start` message and the `settings` of EDGE_CONFIG have the same keys; the load reports of the
-simulator and of real backends name their figures alike.
+The simulator and the real ingress share this module.  The simulator's `Start` message has the same keys as
+the section `settings` of the configuration file that EDGE_CONFIG names, and simulated and real backends use
+the same names in their load reports.
 """
 
 from __future__ import annotations
@@ -19,25 +20,25 @@
     "rps": "qps",
     "err_rps": "eps",
 }
-"""The name of each figure of a load report by its name on the wire."""
+"""Map from the name of a load report figure on the wire to its name in the decision module."""
 
 
-def decode_settings(env: Mapping[str, Any]) -> api.Settings:
-    """Decode the settings of a `Start` message or of EDGE_CONFIG; unknown keys are ignored.
+def decode_settings(values: Mapping[str, Any]) -> api.Settings:
+    """Decode the settings of a `Start` message or of the configuration file; ignore unknown keys.
 
-    Raises KeyError for a missing key, ValueError for a figure out of its range, and TypeError or
+    Raise KeyError for a missing key, ValueError for a number outside its valid range, and TypeError or
     AttributeError for a value of the wrong type.
     """
-    limits = env["limits"]
-    rules = env["rules"]
-    info = env["family-info"]
+    limits = values["limits"]
+    rules = values["rules"]
+    fleet_info = values["family-info"]
     return api.Settings(
-        classes=tuple(_decode_class(row) for row in env["categories"]),
-        plans=tuple(_decode_plan(row) for row in env["contracts"]),
-        instance_index=env["self-index"],
-        instance_count=env["balancers"],
-        zone=env.get("zone", ""),
-        tick=env.get("tick-s", 0.001),
+        classes=tuple(_decode_class(row) for row in values["categories"]),
+        plans=tuple(_decode_plan(row) for row in values["contracts"]),
+        instance_index=values["self-index"],
+        instance_count=values["balancers"],
+        zone=values.get("zone", ""),
+        tick=values.get("tick-s", 0.001),
         answer_slack=rules.get("answer-slack-s", 0.0),
         drain_grace=rules.get("drain-grace-s", 0.0),
         slow_start_duration=rules.get("cold-s", 0.0),
@@ -45,18 +46,18 @@
         overload_factor=rules.get("overload-factor", 1.0),
         overload_window=rules.get("fall-s", 1.0),
         max_poll_interval=rules.get("ask-within-s", 0.0),
-        poll_discovery=env.get("membership-mode", "pushed") == "on_request",
+        poll_discovery=values.get("membership-mode", "pushed") == "on_request",
         max_attempts=limits.get("max-attempts", 1),
         hedging=limits.get("second-copies", False),
         cancellation=limits.get("cancel", False),
         health_checks=limits.get("probing", False),
         gossip=limits.get("peers", False),
-        gossip_receive_rate=info.get("mail-per-s", 0.0),
-        counter_enabled=info.get("counter", False),
-        counter_timeout=info.get("count-wait-s", 0.0),
-        usage_meter_period=info.get("meter-s", 0.0),
-        settles_units=info.get("cost-after", False),
-        max_request_units=info.get("most-units", 1),
+        gossip_receive_rate=fleet_info.get("mail-per-s", 0.0),
+        counter_enabled=fleet_info.get("counter", False),
+        counter_timeout=fleet_info.get("count-wait-s", 0.0),
+        usage_meter_period=fleet_info.get("meter-s", 0.0),
+        settles_units=fleet_info.get("cost-after", False),
+        max_request_units=fleet_info.get("most-units", 1),
         sends_retry_after=limits.get("retry-after", True),
     )
 
