--- a/tests/test_settings_codec.py
+++ b/tests/test_settings_codec.py
@@ -1,4 +1,4 @@
-"""The settings decoded from their wire names."""
+"""Tests of the decoding of settings."""
 
 from __future__ import annotations
 
@@ -11,7 +11,7 @@
 
 CLASS = {"name": "read", "aim-s": 1.0, "give-up-s": 4.0, "importance": 2.0, "semantics": "safe"}
 PLAN = {"name": "basic", "refill": 2.0, "burst": 8.0}
-MINIMAL: dict[str, Any] = {
+MINIMAL_SETTINGS: dict[str, Any] = {
     "balancers": 2,
     "self-index": 1,
     "categories": [CLASS],
@@ -22,8 +22,8 @@
 }
 
 
-def test_what_is_not_given_has_the_defaults_of_the_interface() -> None:
-    assert decode_settings(MINIMAL) == api.Settings(
+def test_missing_optional_keys_have_the_defaults_of_the_interface() -> None:
+    assert decode_settings(MINIMAL_SETTINGS) == api.Settings(
         classes=(api.RequestClass("read", 1.0, 4.0, 2.0),),
         plans=(api.Plan("basic", 2.0, 8.0),),
         instance_index=1,
@@ -31,7 +31,7 @@
     )
 
 
-def test_the_fields_of_a_class() -> None:
+def test_all_fields_of_a_request_class_are_decoded() -> None:
     row = CLASS | {
         "semantics": "keyed",
         "late-worth": 0.5,
@@ -40,7 +40,7 @@
         "aim-stretch": 1.5,
         "stream": True,
     }
-    assert decode_settings(MINIMAL | {"categories": [row]}).classes == (
+    assert decode_settings(MINIMAL_SETTINGS | {"categories": [row]}).classes == (
         api.RequestClass(
             name="read",
             latency_objective=1.0,
@@ -56,7 +56,7 @@
     )
 
 
-def test_the_fields_of_a_plan() -> None:
+def test_all_fields_of_a_plan_are_decoded() -> None:
     row = PLAN | {
         "at-once": 3,
         "worth-factor": 1.5,
@@ -66,7 +66,7 @@
         "ceiling-burst": 30.0,
         "cap-slack": 4.0,
     }
-    assert decode_settings(MINIMAL | {"contracts": [row]}).plans == (
+    assert decode_settings(MINIMAL_SETTINGS | {"contracts": [row]}).plans == (
         api.Plan(
             name="basic",
             rate=2.0,
@@ -82,8 +82,8 @@
     )
 
 
-def test_the_limits_and_rules_of_the_fleet() -> None:
-    env = MINIMAL | {
+def test_all_other_settings_are_decoded() -> None:
+    values = MINIMAL_SETTINGS | {
         "zone": "a",
         "tick-s": 0.002,
         "membership-mode": "on_request",
@@ -113,10 +113,10 @@
             "most-units": 8,
         },
     }
-    found = decode_settings(env)
-    assert found == api.Settings(
-        classes=found.classes,
-        plans=found.plans,
+    settings = decode_settings(values)
+    assert settings == api.Settings(
+        classes=settings.classes,
+        plans=settings.plans,
         instance_index=1,
         instance_count=2,
         zone="a",
@@ -144,7 +144,7 @@
     )
 
 
-@pytest.mark.parametrize("key", list(MINIMAL))
-def test_a_missing_key_is_named(key: str) -> None:
+@pytest.mark.parametrize("key", list(MINIMAL_SETTINGS))
+def test_missing_required_key_is_named_in_the_error(key: str) -> None:
     with pytest.raises(KeyError, match=key):
-        decode_settings({name: value for name, value in MINIMAL.items() if name != key})
+        decode_settings({name: value for name, value in MINIMAL_SETTINGS.items() if name != key})
