--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -1,4 +1,4 @@
-"""One client connection: the order of replies, broken frames, pipelining and time-outs."""
+"""One client connection: the order of replies, malformed frames, pipelining and timeouts."""
 
 from __future__ import annotations
 
@@ -27,19 +27,19 @@
 )
 
 
-def test_replies_come_in_the_order_of_the_commands() -> None:
+def test_replies_are_sent_in_the_order_of_the_commands() -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
-        words = await read_command(reader)
-        if words[2] == b"slow":
+        arguments = await read_command(reader)
+        if arguments[2] == b"slow":
             await until(lambda: peer.commands)
         else:
-            peer.commands.append(words)
-        writer.write(value(words[2]))
+            peer.commands.append(arguments)
+        writer.write(value(arguments[2]))
         await reader.read()
 
     async def body() -> None:
-        async with peer, serving(config(entry(peer.address))) as (served, address):
-            script_gateway(served, send_to_s1)
+        async with peer, serving(config(entry(peer.address))) as (ingress, address):
+            script_gateway(ingress, send_to_s1)
             caller = await Caller.to(address)
             caller.writer.write(command("slow") + command("quick") + resp(b"PING"))
             assert [await caller.answer() for _ in range(3)] == [b"slow", b"quick", b"PONG"]
@@ -67,18 +67,18 @@
         b"x" * 100,
     ],
 )
-def test_broken_frame_closes_the_connection_after_the_pending_replies(data: bytes) -> None:
-    made: list[Ingress] = []
+def test_malformed_frame_closes_the_connection_after_the_pending_replies(data: bytes) -> None:
+    ingresses: list[Ingress] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        await until(lambda: made[0].listener.malformed_log.count)
+        await until(lambda: ingresses[0].listener.malformed_command_log.count)
         writer.write(value(b"served"))
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (served, address):
-            made.append(served)
+        async with Peer(script) as peer, serving(config(entry(peer.address))) as (ingress, address):
+            ingresses.append(ingress)
             caller = await Caller.to(address)
             caller.writer.write(command() + data)
             assert await caller.answer() == b"served"
@@ -100,33 +100,37 @@
     run(body())
 
 
-def test_client_that_repeats_malformed_commands_is_closed() -> None:
+def test_client_that_repeats_malformed_commands_is_disconnected() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             caller = await Caller.to(address)
             caller.writer.write(resp(b"NO") * 300)
             for _ in range(command_executor.MAX_MALFORMED_COMMANDS):
                 assert isinstance(await caller.answer(), hiredis.ReplyError)
             with pytest.raises((EOFError, ConnectionError)):
                 await caller.answer()
-            assert served.listener.malformed_log.count == command_executor.MAX_MALFORMED_COMMANDS
+            assert ingress.listener.malformed_command_log.count == command_executor.MAX_MALFORMED_COMMANDS
 
     run(body())
 
 
-def test_last_error_is_delivered_though_more_input_keeps_coming(monkeypatch: pytest.MonkeyPatch) -> None:
-    """60 MB behind a length that is refused: little of it is read, and the peer still sees why."""
+def test_last_error_reply_is_delivered_while_more_input_arrives(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Check that the client reads the error even though it still sends 60 MB that are never parsed.
+
+    Closing with unread input would reset the connection and could destroy the error reply.  Only a little of
+    the input is read and discarded.
+    """
     monkeypatch.setattr(timeouts, "LINGER_TIMEOUT_S", 0.2)
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             caller = await Caller.to(address)
             caller.writer.write(b"*5\r\n$60000000\r\n")
             assert "too large" in str(await caller.answer())
-            client = next(iter(served.listener.connections))
+            client = next(iter(ingress.listener.connections))
             caller.writer.write(bytes(60_000_000))
-            await until(lambda: not served.listener.connections)
+            await until(lambda: not ingress.listener.connections)
             assert client.discarded_bytes < 2 * connection.MAX_DISCARDED_BYTES
             caller.writer.transport.abort()
 
@@ -134,25 +138,25 @@
 
 
 @pytest.mark.parametrize("sent", [b"", b"*", b"*4\r\n$8\r\nAPI.R", b"*1\r\n$4\r\nPIN"])
-def test_silent_client_or_partial_command_is_timed_out(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+def test_silent_client_or_partial_command_times_out(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timeouts, "READ_TIMEOUT_S", 0.2)
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             caller = await Caller.to(address)
             caller.writer.write(sent)
-            received = await caller.reader.read()  # to the end of the connection
+            received = await caller.reader.read()  # until the connection is closed
             assert received.startswith(b"-ERR ") is bool(sent)
             caller.writer.close()
-            await until(lambda: not served.listener.connections)
-            assert not served.listener.input_budget.used_bytes
+            await until(lambda: not ingress.listener.connections)
+            assert not ingress.listener.input_budget.used_bytes
 
     run(body())
 
 
-def test_slow_bytes_do_not_extend_the_time_out_of_a_partial_command(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The time of a command that comes in part runs from its first byte, not from its latest."""
+def test_single_bytes_do_not_extend_the_timeout_of_a_partial_command(monkeypatch: pytest.MonkeyPatch) -> None:
+    """The timeout of a partial command runs from its first byte, not from its latest byte."""
     monkeypatch.setattr(timeouts, "READ_TIMEOUT_S", 0.3)
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
@@ -170,7 +174,7 @@
     run(body())
 
 
-def test_an_idle_client_is_closed_and_a_busy_one_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_idle_connection_is_closed_and_busy_one_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
     for module, name in (
         (timeouts, "READ_TIMEOUT_S"),
         (timeouts, "IDLE_TIMEOUT_S"),
@@ -179,9 +183,9 @@
         monkeypatch.setattr(module, name, 0.05)
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
-        words = await read_command(reader)
+        arguments = await read_command(reader)
         await until(lambda: ended)
-        writer.write(value(words[2]))
+        writer.write(value(arguments[2]))
         await reader.read()
 
     async def body() -> None:
@@ -198,15 +202,15 @@
     run(body())
 
 
-def test_client_that_does_not_read_its_replies_is_closed(monkeypatch: pytest.MonkeyPatch) -> None:
+def test_client_that_does_not_read_its_replies_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(timeouts, "READ_TIMEOUT_S", 0.1)
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
+        async with serving(config()) as (ingress, address):
             sock = socket.create_connection(address)
             sock.setblocking(False)
-            await until(lambda: served.listener.connections)
+            await until(lambda: ingress.listener.connections)
             loop, text = asyncio.get_running_loop(), resp(b"PING", b"x" * 60_000)
 
             async def send() -> None:
@@ -216,6 +220,6 @@
             with pytest.raises(ConnectionError):
                 await send()
             sock.close()
-            await until(lambda: not served.listener.connections)
+            await until(lambda: not ingress.listener.connections)
 
     run(body())
--- a/tests/downstream/test_listener.py
+++ b/tests/downstream/test_listener.py
@@ -1,4 +1,4 @@
-"""The bound on client connections, and which of them are closed for new ones."""
+"""The limit of client connections, and the eviction of connections for new ones."""
 
 from __future__ import annotations
 
@@ -13,10 +13,10 @@
 from tests.support.peers import Caller, backend, command, config, entry, resp, run, until
 
 
-def test_connections_are_bounded_and_idle_ones_are_evicted() -> None:
+def test_idle_connection_is_evicted_at_the_connection_limit() -> None:
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.listener.max_connections = 3  # the last place is kept free
+        async with serving(config()) as (ingress, address):
+            ingress.listener.max_connections = 3  # one slot is kept free for new connections
             callers = [await Caller.to(address) for _ in range(2)]
             for caller in callers:
                 assert await caller.ask(resp(b"PING")) == b"PONG"
@@ -30,12 +30,12 @@
 
 
 def test_connection_just_accepted_is_not_evicted() -> None:
-    """Many clients with a connection each: new ones wait in the backlog, and none is closed."""
+    """With many clients of one connection each, new connections wait in the backlog and none is closed."""
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.listener.max_connections = 10
-            script_gateway(served, lambda e: [api.Reject(e.id)])
+        async with serving(config()) as (ingress, address):
+            ingress.listener.max_connections = 10
+            script_gateway(ingress, lambda e: [api.Reject(e.id)])
             callers = [await Caller.to(address) for _ in range(60)]
             for n, caller in enumerate(callers):
                 caller.writer.write(command(str(n)))
@@ -46,21 +46,21 @@
     run(body())
 
 
-def test_silent_clients_do_not_keep_others_out(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Hundreds connect and say nothing: they go first, those that have asked stay."""
+def test_silent_clients_do_not_lock_out_other_clients(monkeypatch: pytest.MonkeyPatch) -> None:
+    """Of hundreds of connections, those that have sent no command are evicted before the others."""
     monkeypatch.setattr(idle_connections, "MIN_NEW_CONNECTION_AGE_S", 0.0)
 
     async def body() -> None:
-        async with serving(config()) as (served, address):
-            served.listener.max_connections = 40
-            usual = await Caller.to(address)
-            assert await usual.ask(resp(b"PING")) == b"PONG"
+        async with serving(config()) as (ingress, address):
+            ingress.listener.max_connections = 40
+            active = await Caller.to(address)
+            assert await active.ask(resp(b"PING")) == b"PONG"
             silent = [await Caller.to(address) for _ in range(200)]
-            late = await Caller.to(address)
+            later = await Caller.to(address)
             for _ in range(3):
-                assert await late.ask(resp(b"PING")) == b"PONG"
-                assert await usual.ask(resp(b"PING")) == b"PONG"
-            assert len(served.listener.connections) <= 40
+                assert await later.ask(resp(b"PING")) == b"PONG"
+                assert await active.ask(resp(b"PING")) == b"PONG"
+            assert len(ingress.listener.connections) <= 40
             for caller in silent:
                 caller.writer.close()
 
@@ -69,26 +69,27 @@
 
 @pytest.mark.parametrize("how", ["drain", "idle", "room"])
 def test_unread_request_keeps_its_connection_open(how: str) -> None:
-    """The close comes first though the request is in the socket: it would be a reset, and lose it."""
+    """Closing a connection with an unread request in the socket would reset it and lose the request."""
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
             sock = socket.create_connection(address)
             sock.sendall(resp(b"PING"))
-            [client] = await client_connections(served, 1)
-            await until(lambda: client in served.listener.idle.idle)
-            sock.sendall(command("late"))  # in the socket at once, and the loop has no turn before the close
+            [client] = await client_connections(ingress, 1)
+            await until(lambda: client in ingress.listener.idle_connections.answered)
+            # The command stays unread in the socket, since the event loop does not run before the close.
+            sock.sendall(command("late"))
             if how == "drain":
-                served.listener.drain()
+                ingress.listener.drain()
             elif how == "idle":
-                client.enforce_timeouts(served.clock() + timeouts.IDLE_TIMEOUT_S + 1)
+                client.enforce_timeouts(ingress.clock() + timeouts.IDLE_TIMEOUT_S + 1)
             else:
-                served.listener.evict_one()
+                ingress.listener.evict_connection()
             sock.setblocking(False)
-            loop, got = asyncio.get_running_loop(), b""
-            while b"late" not in got:
-                got += (more := await loop.sock_recv(sock, 1000))
-                assert more
+            loop, received = asyncio.get_running_loop(), b""
+            while b"late" not in received:
+                received += (chunk := await loop.sock_recv(sock, 1000))
+                assert chunk
             sock.close()
 
     run(body())
@@ -97,17 +98,17 @@
 @pytest.mark.parametrize("how", ["drain", "room"])
 def test_partial_request_keeps_its_connection_open(how: str) -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (served, address):
+        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
             caller = await Caller.to(address)
             assert await caller.ask(resp(b"PING")) == b"PONG"
             text = command("whole")
             caller.writer.write(text[:50])
-            [client] = await client_connections(served, 1)
+            [client] = await client_connections(ingress, 1)
             await until(lambda: client.buffer)
             if how == "drain":
-                served.listener.drain()
+                ingress.listener.drain()
             else:
-                served.listener.evict_one()
+                ingress.listener.evict_connection()
             assert await caller.ask(text[50:]) == b"whole"
             assert how == "room" or await caller.closes_without_reset()
 
@@ -119,21 +120,23 @@
     value = b"*3\r\n$1000000\r\n" + b"v" * 1_000_000 + b"\r\n$-1\r\n$-1\r\n"
 
     async def body() -> None:
-        async with backend(value) as peer, serving(config(entry(peer.address))) as (served, address):
-            script_gateway(served, send_to_s1)
+        async with backend(value) as peer, serving(config(entry(peer.address))) as (ingress, address):
+            script_gateway(ingress, send_to_s1)
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.connect(address)
             sock.sendall(b"".join(command(str(n)) for n in range(size // 1_000_000)))
-            [client] = await client_connections(served, 1)
-            await until(lambda: client.write_blocked_since and not served.requests and not client.pending)
-            served.listener.evict_one()
+            [client] = await client_connections(ingress, 1)
+            await until(
+                lambda: client.write_blocked_since and not ingress.requests and not client.pending_replies
+            )
+            ingress.listener.evict_connection()
             sock.setblocking(False)
-            loop, got = asyncio.get_running_loop(), 0
-            while got < size // 1_000_000 * (1_000_000 + len(b"$1000000\r\n\r\n")):
-                more = await loop.sock_recv(sock, 1 << 20)
-                assert more
-                got += len(more)
+            loop, received = asyncio.get_running_loop(), 0
+            while received < size // 1_000_000 * (1_000_000 + len(b"$1000000\r\n\r\n")):
+                chunk = await loop.sock_recv(sock, 1 << 20)
+                assert chunk
+                received += len(chunk)
             sock.close()
 
     run(body())
