--- a/ingress/decisions/admission.py
+++ b/ingress/decisions/admission.py
@@ -36,7 +36,9 @@
         self.customers_by_hash: dict[int, Customer] = {}
         """The same customers, by the hash that identifies them in gossip messages."""
 
-    def find_customer(self, now: float, event: api.Request, plan: api.Plan, process_age: float) -> Customer:
+    def get_or_create_customer(
+        self, now: float, event: api.Request, plan: api.Plan, process_age: float
+    ) -> Customer:
         """Return the customer of a request; create it or resize its slices if needed.
 
         `process_age` is the age of this process in seconds.
@@ -48,7 +50,7 @@
                 return customer
         # A customer that is new, or whose plan has changed, starts with new limits.
         customer = Customer(
-            event, plan, now, process_age, self.counter.enabled, self.settings.max_request_units
+            event, plan, now, process_age, self.counter.is_enabled, self.settings.max_request_units
         )
         self.customers_by_key[customer.key] = customer
         self.customers_by_hash[customer.hash] = customer
@@ -75,13 +77,13 @@
         # how their levels are rounded.
         if self._slices_suffice(now, request):
             return False
-        if request.too_late or not self._has_time_for_reply(now, request):
+        if request.is_too_late or not self._has_time_for_reply(now, request):
             return False
         return self._may_find_more_quota(now, request)
 
     def _slices_suffice(self, now: float, request: PendingRequest) -> bool:
         """Return whether the slices of the ceiling and of the quota have enough units without the counter."""
-        if self.ceiling_slice_short(now, request):
+        if self.is_ceiling_slice_short(now, request):
             return False
         customer = request.customer
         low_level = LOW_SLICE_SHARE * self.counter.sampling.rate * customer.slice.capacity
@@ -98,12 +100,12 @@
         min_age = request.units / request.plan.rate if asks_often else estimate.lifetime
         return now - estimate.reported_at > min_age or estimate.level(now) >= request.units
 
-    def ceiling_slice_short(self, now: float, request: PendingRequest) -> bool:
+    def is_ceiling_slice_short(self, now: float, request: PendingRequest) -> bool:
         """Return whether the local slice of the ceiling has fewer units than the request needs."""
         ceiling = request.customer.ceiling
-        return request.plan.ceiling_rate > 0 and not ceiling.slice.fits(now, request.units)
+        return request.plan.ceiling_rate > 0 and not ceiling.slice.has_units(now, request.units)
 
-    def inside_quota(self, now: float, request: PendingRequest) -> bool:
+    def is_inside_quota(self, now: float, request: PendingRequest) -> bool:
         """Return whether the request is inside its customer's quota and concurrency limit.
 
         If the complete quota is not known, a request that is probably inside it counts as inside.
@@ -144,7 +146,7 @@
         """
         if not request.customer.has_undersized_slice:
             return False
-        if now - self.counter.last_reply_at >= COUNTER_DOWN_AFTER_S:
+        if now - self.counter.last_success_at >= COUNTER_DOWN_AFTER_S:
             return False
         estimate = request.customer.estimate
         total_is_recent = now - estimate.reported_at < EXHAUSTED_TOTAL_LIFETIME_S
@@ -154,6 +156,6 @@
 
     def _is_peer_use_known(self, now: float, customer: Customer) -> bool:
         """Return whether there is a recent total from the counter, or a recent report from each peer."""
-        if self.counter.enabled:
+        if self.counter.is_enabled:
             return customer.estimate.is_fresh(now)
         return self.peer_reports.have_all_reported(now, customer.peer_indices(self.settings))
--- a/ingress/decisions/answer_times.py
+++ b/ingress/decisions/answer_times.py
@@ -1,7 +1,7 @@
 """Mean answer times by request class, and the expected work of a request."""
 
 import ingress.interface as api
-from ingress.decisions.constants import SLOW_SMOOTHING
+from ingress.decisions.constants import SLOW_SMOOTHING_FACTOR
 from ingress.decisions.request import PendingRequest
 
 INITIAL_MEAN_DIVISOR = 8  # the mean before any answer is the latency objective divided by this
@@ -30,13 +30,13 @@
     def record(self, request_class: api.RequestClass, latency: float) -> None:
         """Include an answer that took `latency` seconds, capped at the class's latency objective."""
         mean = self.mean_by_class.setdefault(request_class.name, latency)
-        self.mean_by_class[request_class.name] = mean + SLOW_SMOOTHING * (
+        self.mean_by_class[request_class.name] = mean + SLOW_SMOOTHING_FACTOR * (
             min(latency, request_class.latency_objective) - mean
         )
 
     def record_units(self, units: float) -> None:
         """Include a request of `units` in the mean size of a request."""
-        self.mean_request_units += (units - self.mean_request_units) * SLOW_SMOOTHING
+        self.mean_request_units += (units - self.mean_request_units) * SLOW_SMOOTHING_FACTOR
 
     def expected_work(self, request: PendingRequest) -> float:
         """Return the work that the request is expected to cause, as a multiple of the mean request's."""
--- a/ingress/decisions/attempt_outcomes.py
+++ b/ingress/decisions/attempt_outcomes.py
@@ -33,7 +33,7 @@
 
     def _record_answer(self, now: float, event: api.AttemptEnded, attempt: InFlightAttempt) -> None:
         request_class = attempt.request.request_class
-        backend = attempt.sent.backend
+        backend = attempt.sent_attempt.backend
         mean_answer_time = self.answer_times.mean(request_class)  # does not include this answer yet
         backend.clear_failures()
         backend.record_answer(now, event.latency, mean_answer_time, request_class.latency_objective)
@@ -41,19 +41,19 @@
         self.balancer.record_answer(now)
 
     def _settle_units(self, event: api.AttemptEnded, request: PendingRequest) -> None:
-        if event.settled_units and request.accounting.inside_quota:
-            request.customer.settle(event.settled_units - request.units)
+        if event.settled_units and request.accounting.is_inside_quota:
+            request.customer.settle_units(event.settled_units - request.units)
             self.counter.mark_unreported(request.customer)
 
     def _record_failure(self, now: float, event: api.AttemptEnded, attempt: InFlightAttempt) -> None:
-        backend = attempt.sent.backend
+        backend = attempt.sent_attempt.backend
         # A time-out also counts as a slow answer, unless the backend has answered another attempt since then.
-        if event.outcome is api.Outcome.TIMEOUT and backend.last_answer_at <= attempt.sent.sent_at:
+        if event.outcome is api.Outcome.TIMEOUT and backend.last_answer_at <= attempt.sent_attempt.sent_at:
             request_class = attempt.request.request_class
             objective = request_class.latency_objective
             mean_answer_time = self.answer_times.mean(request_class)
             backend.record_answer(now, max(event.latency, objective), mean_answer_time, objective)
-            backend.suspect()
+            backend.mark_suspect()
         backend.record_failure(now, event.outcome, self.balancer.longest_objective)
 
 
@@ -103,5 +103,5 @@
     def _refund_unless_received(self, request: PendingRequest) -> None:
         """Refund the units of a request that no backend received because its client left early."""
         if not request.attempts.reached_backend:
-            request.customer.refund(request)
+            request.customer.refund_request(request)
             self.counter.mark_unreported(request.customer)
--- a/ingress/decisions/attempts.py
+++ b/ingress/decisions/attempts.py
@@ -20,7 +20,7 @@
     """An attempt that has no outcome yet."""
 
     request: PendingRequest
-    sent: SentAttempt
+    sent_attempt: SentAttempt
     """The backend of the attempt, and the time when it was sent."""
 
 
@@ -58,7 +58,7 @@
         if explore:
             self.overload_detector.exploratory_attempt = key
         timeout = max(self.retry_policy.attempt_timeout(now, request), MIN_TIMEOUT_S)
-        self.sink.emit(api.SendAttempt(request.id, backend.info.id, timeout, max_write_delay))
+        self.sink.emit(api.SendAttempt(request.id, backend.entry.id, timeout, max_write_delay))
         return True
 
     def _charge_first_attempt(self, now: float, request: PendingRequest) -> None:
@@ -66,25 +66,25 @@
         self.retry_policy.record_first_attempt()
         accounting = request.accounting
         if request.plan.ceiling_rate:
-            accounting.charges += request.customer.ceiling.take(request.units)
-        if accounting.inside_quota:
+            accounting.charges += request.customer.ceiling.charge_units(request.units)
+        if accounting.is_inside_quota:
             self.counter.mark_unreported(request.customer)
-            is_reported = accounting.counted_units > 0 or accounting.sampled
-            request.customer.charge(now, request, is_reported)
+            is_reported = accounting.counted_units > 0 or accounting.is_covered_by_samples
+            request.customer.charge_request(now, request, is_reported)
             accounting.counted_units = 0.0
 
     def _record_sent_attempt(
         self, now: float, request: PendingRequest, backend: TrackedBackend
     ) -> AttemptKey:
-        attempt_number = len(request.attempts.sent)
+        attempt_number = len(request.attempts.sent_attempts)
         key = request.id, attempt_number
         sent_attempt = SentAttempt(backend, now)
-        request.attempts.sent.append(sent_attempt)
+        request.attempts.sent_attempts.append(sent_attempt)
         request.attempts.possibly_executed.append(sent_attempt)
         request.attempts.in_flight[attempt_number] = backend
         request.customer.attempts_in_flight += 1
         self.in_flight[key] = InFlightAttempt(request, sent_attempt)
-        self.balancer.attempt_started(backend, key, now)
+        self.balancer.add_attempt(backend, key, now)
         self.overload_detector.record_attempt_start(now, key, request.request_class)
         return key
 
@@ -96,9 +96,9 @@
             return None
         request = attempt.request
         request.customer.attempts_in_flight -= 1
-        self.balancer.attempt_ended(attempt.sent.backend, key)
+        self.balancer.remove_attempt(attempt.sent_attempt.backend, key)
         request.attempts.in_flight.pop(event.attempt, None)
         self.overload_detector.record_attempt_end(now, key)
         if event.outcome.proves_not_executed:
-            request.attempts.possibly_executed.remove(attempt.sent)
+            request.attempts.possibly_executed.remove(attempt.sent_attempt)
         return attempt
--- a/ingress/decisions/backend.py
+++ b/ingress/decisions/backend.py
@@ -5,7 +5,7 @@
 import ingress.interface as api
 from ingress.decisions.attempt_key import AttemptKey
 from ingress.decisions.concurrency_limit import INITIAL_LIMIT, ConcurrencyLimit
-from ingress.decisions.constants import SMOOTHING
+from ingress.decisions.constants import SMOOTHING_FACTOR
 from ingress.decisions.outlier_ejection import OutlierEjection
 from ingress.decisions.token_bucket import TokenBucket
 
@@ -20,7 +20,7 @@
 class LoadTotals:
     """Attempts in flight and concurrency limits, summed over the candidates."""
 
-    attempts_out: int = 0
+    attempts_in_flight: int = 0
     """Number of attempts that this gateway has in flight."""
     limit: float = 0.0
     """Number of attempts that this gateway may have in flight."""
@@ -32,7 +32,7 @@
     def __init__(
         self, info: api.Backend, now: float, budget_level: float = 0.0, totals: LoadTotals | None = None
     ) -> None:
-        self.info = info
+        self.entry = info
         """The backend's entry in the endpoint list."""
         self.totals = totals or LoadTotals()
         """Sums over all candidates; they include this backend while it is a candidate."""
@@ -74,13 +74,13 @@
     def set_candidate(self, is_candidate: bool) -> None:
         """Set whether the backend is a candidate, and add it to the totals or remove it from them."""
         sign = int(is_candidate) - int(self.is_candidate)
-        self.totals.attempts_out += sign * len(self.attempts_in_flight)
+        self.totals.attempts_in_flight += sign * len(self.attempts_in_flight)
         self.totals.limit += sign * self.concurrency_limit.limit
         self.is_candidate = is_candidate
 
     def is_warming_up(self, now: float, settings: api.Settings) -> bool:
         """Return whether the backend started so recently that it may lack its full capacity."""
-        return self.info.started > 0.0 and now < self.info.started + settings.slow_start_duration
+        return self.entry.started > 0.0 and now < self.entry.started + settings.slow_start_duration
 
     def record_answer(
         self, now: float, latency: float, mean_answer_time: float, latency_objective: float
@@ -89,7 +89,7 @@
 
         `mean_answer_time` is the mean of the request's class (s).
         """
-        self.relative_latency += SMOOTHING * (
+        self.relative_latency += SMOOTHING_FACTOR * (
             latency / max(mean_answer_time, MIN_DIVISOR) - self.relative_latency
         )
         self.last_answer_at = now
@@ -121,7 +121,7 @@
         """Reset the count of consecutive failures after a successful answer."""
         self.ejection.clear_failures()
 
-    def suspect(self) -> None:
+    def mark_suspect(self) -> None:
         """Let the next failure eject the backend.
 
         The caller uses this when an attempt has timed out and the backend has answered nothing since the
@@ -154,9 +154,9 @@
         decay: float = 0.5**half_lives
         silence = self.silence_duration(now) / max(mean_answer_time, MIN_DIVISOR) / SILENCE_FOR_MEAN_LATENCY
         latency = max(1.0 + (self.relative_latency - 1.0) * decay, silence, MIN_RELATIVE_LATENCY)
-        zone_factor = CROSS_ZONE_FACTOR if zone != self.info.zone else 1.0
+        zone_factor = CROSS_ZONE_FACTOR if zone != self.entry.zone else 1.0
         load = (len(self.attempts_in_flight) + tie_break) * latency
-        return load / max(self.info.weight, MIN_DIVISOR) * zone_factor
+        return load / max(self.entry.weight, MIN_DIVISOR) * zone_factor
 
     def _add_limit_change_to_totals(self, change: float) -> None:
         """Update the totals after a change of the limit; every change must be passed to this method."""
--- a/ingress/decisions/balancer.py
+++ b/ingress/decisions/balancer.py
@@ -76,11 +76,11 @@
         """Apply an update of the endpoint list."""
         self.candidate_set.apply_update(event, now)
 
-    def attempt_started(self, backend: TrackedBackend, key: AttemptKey, now: float) -> None:
+    def add_attempt(self, backend: TrackedBackend, key: AttemptKey, now: float) -> None:
         """Add an attempt that was sent to the attempts in flight at the backend."""
         self.candidate_set.add_attempt(backend, key, now)
 
-    def attempt_ended(self, backend: TrackedBackend, key: AttemptKey) -> float:
+    def remove_attempt(self, backend: TrackedBackend, key: AttemptKey) -> float:
         """Remove an attempt that ended from those in flight, and return the time at which it was sent (s).
 
         Raise KeyError if the attempt is not in flight.
@@ -111,7 +111,7 @@
             return self._choose_among(
                 request, now, [b for b in candidate_set.reserve if not b.attempts_in_flight]
             )
-        is_early_attempt = len(request.attempts.sent) < SUBSET_ATTEMPTS
+        is_early_attempt = len(request.attempts.sent_attempts) < SUBSET_ATTEMPTS
         preferred = candidate_set.subset if is_early_attempt else candidate_set.reserve
         chosen = self._choose_among(request, now, candidate_set.sample(preferred, MAX_COMPARED))
         if chosen is None:
@@ -133,7 +133,7 @@
         eligible = self._find_eligible_backends(request, now, usable, healthy_ids)
         chosen = self._find_least_loaded(request, now, eligible)
         if chosen is not None and chosen.is_warming_up(now, self.settings):
-            chosen.slow_start_budget.take(self.answer_times.expected_work(request))
+            chosen.slow_start_budget.take_units(self.answer_times.expected_work(request))
         return chosen
 
     def _find_healthy_ids(self, backends: list[TrackedBackend], now: float) -> set[str]:
@@ -145,7 +145,7 @@
         longest_mean = max(self.answer_times.mean_by_class.values(), default=self.longest_objective)
         max_silence = STALL_FACTOR * longest_mean
         return {
-            b.info.id for b in backends if b.silence_duration(now) <= max_silence and not b.is_ejected(now)
+            b.entry.id for b in backends if b.silence_duration(now) <= max_silence and not b.is_ejected(now)
         }
 
     def _find_eligible_backends(
@@ -157,11 +157,11 @@
         too.  Backends that refuse connections remain excluded: they look idle and would get all requests.
         """
         in_panic = len(healthy_ids) < MIN_HEALTHY_SHARE * len(usable)
-        tried_ids = {attempt.backend.info.id for attempt in request.attempts.sent}
+        tried_ids = {attempt.backend.entry.id for attempt in request.attempts.sent_attempts}
         skips_tried = len(usable) > len(tried_ids)
         eligible = []
         for backend in usable:
-            backend_id = backend.info.id
+            backend_id = backend.entry.id
             if backend_id not in healthy_ids and (backend.ejection.is_unreachable or not in_panic):
                 continue
             if skips_tried and backend_id in tried_ids:
--- a/ingress/decisions/candidate_set.py
+++ b/ingress/decisions/candidate_set.py
@@ -55,9 +55,9 @@
 
     def add_attempt(self, backend: TrackedBackend, key: AttemptKey, now: float) -> None:
         """Add an attempt that was sent to the attempts in flight at the backend."""
-        self.tracked_backends[backend.info.id] = backend
+        self.tracked_backends[backend.entry.id] = backend
         backend.attempts_in_flight[key] = now
-        self.load_totals.attempts_out += backend.is_candidate
+        self.load_totals.attempts_in_flight += backend.is_candidate
 
     def remove_attempt(self, backend: TrackedBackend, key: AttemptKey) -> float:
         """Remove an attempt that ended from those in flight, and return the time at which it was sent (s).
@@ -65,10 +65,10 @@
         A backend that is not a candidate is no longer tracked after its last attempt has ended.  Raise
         KeyError if the attempt is not in flight.
         """
-        self.load_totals.attempts_out -= backend.is_candidate
+        self.load_totals.attempts_in_flight -= backend.is_candidate
         sent_at = backend.attempts_in_flight.pop(key)
         if not backend.is_candidate and not backend.attempts_in_flight:
-            self.tracked_backends.pop(backend.info.id, None)
+            self.tracked_backends.pop(backend.entry.id, None)
         return sent_at
 
     def sample(self, backends: list[TrackedBackend], max_count: int) -> list[TrackedBackend]:
@@ -99,9 +99,9 @@
         else:
             self.ready_backends.pop(entry.id, None)
         if backend := self.tracked_backends.get(entry.id):
-            if entry.started != backend.info.started:
+            if entry.started != backend.entry.started:
                 backend.reset_for_restart(now, self.rng.random())
-            backend.info = entry
+            backend.entry = entry
 
     def _choose_candidates(self, updated: tuple[api.Backend, ...], now: float) -> None:
         """Track the subset and the reserve, and stop tracking others that have no attempt in flight."""
--- a/ingress/decisions/ceiling.py
+++ b/ingress/decisions/ceiling.py
@@ -59,16 +59,16 @@
         unreported_by_peers = (
             assigned_instances - 1
         ) * MIN_REPORTED_BURSTS * self.plan.burst - self.plan.ceiling_slack / 2
-        is_in_fleet_bucket = total_is_current and self.fleet_bucket.fits(
+        is_in_fleet_bucket = total_is_current and self.fleet_bucket.has_units(
             now, units + max(0.0, unreported_by_peers)
         )
-        return self.slice.fits(now, units) or is_in_fleet_bucket
+        return self.slice.has_units(now, units) or is_in_fleet_bucket
 
-    def take(self, units: float) -> list[Charge]:
+    def charge_units(self, units: float) -> list[Charge]:
         """Charge `units` to both buckets and return the charges; the slice does not fall below zero."""
         return [
-            Charge(self.fleet_bucket, self.fleet_bucket.take(units)),
-            Charge(self.slice, self.slice.take(units, 0.0)),
+            Charge(self.fleet_bucket, self.fleet_bucket.take_units(units)),
+            Charge(self.slice, self.slice.take_units(units, 0.0)),
         ]
 
     def update_from_count(self, now: float, use: CeilingUse, count_was_lost: bool) -> None:
--- a/ingress/decisions/concurrency_limit.py
+++ b/ingress/decisions/concurrency_limit.py
@@ -2,7 +2,7 @@
 
 from dataclasses import dataclass
 
-from ingress.decisions.constants import SMOOTHING
+from ingress.decisions.constants import SMOOTHING_FACTOR
 
 BUSY_LATENCY_SHARE = 0.18  # of the latency objective: a backend with a longer mean answer time is overloaded
 INITIAL_LIMIT = 1.0  # attempts in flight before the first answer
@@ -47,7 +47,7 @@
         `in_flight` is the number of other attempts in flight at the backend.
         """
         latency_share = latency / latency_objective
-        self.mean_latency_share += SMOOTHING * (latency_share - self.mean_latency_share)
+        self.mean_latency_share += SMOOTHING_FACTOR * (latency_share - self.mean_latency_share)
         if self.mean_latency_share > BUSY_LATENCY_SHARE:
             return self.decrease(now, latency, in_flight)
         is_quick = latency < BUSY_LATENCY_SHARE * latency_objective
--- a/ingress/decisions/count_learning.py
+++ b/ingress/decisions/count_learning.py
@@ -34,7 +34,9 @@
         count = customer.counted_use
         plan = customer.plan
         awaiting_units = sum(
-            request.units for request in customer.awaiting_counter if request.accounting.counted_units
+            request.units
+            for request in customer.requests_awaiting_counter
+            if request.accounting.counted_units
         )
         level = (
             plan.burst
@@ -60,7 +62,9 @@
         process_started_at: float,
     ) -> None:
         count = customer.counted_use
-        awaiting_units = sum(request.accounting.counted_units for request in customer.awaiting_counter)
+        awaiting_units = sum(
+            request.accounting.counted_units for request in customer.requests_awaiting_counter
+        )
         use = CeilingUse(
             count_name=count.name,
             known_since=max(count.started_at, process_started_at),
--- a/ingress/decisions/count_sampling.py
+++ b/ingress/decisions/count_sampling.py
@@ -8,7 +8,7 @@
 import random
 
 import ingress.interface as api
-from ingress.decisions.constants import NEVER, SLOW_SMOOTHING
+from ingress.decisions.constants import NEVER, SLOW_SMOOTHING_FACTOR
 from ingress.decisions.customer import Customer
 from ingress.decisions.request import PendingRequest
 
@@ -61,13 +61,13 @@
             weight = probability if represents_others and not is_ceiling_slice_short else 1.0
             request.accounting.counted_units = request.units / weight
             request.customer.counted_use.unreported_units += request.accounting.counted_units
-        request.accounting.sampled = represents_others and not sampled
+        request.accounting.is_covered_by_samples = represents_others and not sampled
         return sampled
 
     def _sampling_probability(self, request: PendingRequest) -> float:
         """Return the probability to sample the request, and include its cost in the mean cost."""
         cost = self._over_quota_cost(request)
-        smoothing = SLOW_SMOOTHING if self.mean_over_quota_cost else 1.0
+        smoothing = SLOW_SMOOTHING_FACTOR if self.mean_over_quota_cost else 1.0
         self.mean_over_quota_cost += (cost - self.mean_over_quota_cost) * smoothing
         factor = LIKELY_OVER_QUOTA_FACTOR if self._is_likely_over_quota(request) else 1.0
         base_rate = self.rate * factor
@@ -100,7 +100,7 @@
         It does not pay for a customer that sends more than its quota.  Such a customer is recognised by its
         requests, which return to each gateway before the slice has refilled by their units.
         """
-        if request.returned_early:
+        if request.arrived_before_refill:
             return False
         if request.is_client_retry and self._is_likely_over_quota(request):
             return False
@@ -125,6 +125,6 @@
         """
         probabilities = self.quota_available_probability
         plan = customer.plan.name
-        for request in customer.awaiting_counter:
+        for request in customer.requests_awaiting_counter:
             available = customer.estimate.level(now) >= request.units
-            probabilities[plan] += SLOW_SMOOTHING * (available - probabilities[plan])
+            probabilities[plan] += SLOW_SMOOTHING_FACTOR * (available - probabilities[plan])
--- a/ingress/decisions/customer.py
+++ b/ingress/decisions/customer.py
@@ -32,7 +32,7 @@
         self.hash = crc32(request.customer.encode())
         """Number that identifies the customer at the shared counter and in gossip; equal on all gateways."""
         self.plan = plan
-        self.seen_at = NEVER
+        self.last_seen_at = NEVER
         """Time in seconds of the customer's last request."""
         self.assigned_instances = max(1, request.assigned_instances)
         """Number of gateways through which the customer's requests come."""
@@ -54,7 +54,7 @@
         """The customer's count at the shared counter."""
         self.total_used_units = 0.0
         """Units used here since the start of this process, as reported to peers."""
-        self.awaiting_counter: list[QuotaRequest] = []
+        self.requests_awaiting_counter: list[QuotaRequest] = []
         """The customer's requests that await a reply of the counter, oldest first."""
 
     def _is_slice_undersized(self, max_request_units: float) -> bool:
@@ -83,9 +83,13 @@
 
     def is_evictable(self, now: float) -> bool:
         """Return whether the customer is idle and its buckets are full, so that eviction loses no state."""
-        if now - self.seen_at <= EVICT_AFTER_S or self.attempts_in_flight or self.awaiting_counter:
+        if (
+            now - self.last_seen_at <= EVICT_AFTER_S
+            or self.attempts_in_flight
+            or self.requests_awaiting_counter
+        ):
             return False
-        return all(bucket.fits(now, bucket.capacity) for bucket in (self.slice, self.ceiling.slice))
+        return all(bucket.has_units(now, bucket.capacity) for bucket in (self.slice, self.ceiling.slice))
 
     def peer_indices(self, settings: api.Settings) -> set[int]:
         """Return the indices of the other gateways through which the customer's requests come."""
@@ -97,14 +101,14 @@
 
     def has_units_in_slice(self, now: float, units: float) -> bool:
         """Return whether the slice has `units`, for which it may fill beyond its capacity if necessary."""
-        return self.slice.fits(now, units, max(self.slice.capacity, units))
+        return self.slice.has_units(now, units, max(self.slice.capacity, units))
 
-    def under_ceiling(self, now: float, units: float) -> bool:
+    def is_under_ceiling(self, now: float, units: float) -> bool:
         """Return whether the ceiling has room for `units`."""
         total_is_current = self.estimate.reported_at == now
         return self.ceiling.has_units(now, units, self.assigned_instances, total_is_current)
 
-    def charge(self, now: float, request: QuotaRequest, reported: bool) -> None:
+    def charge_request(self, now: float, request: QuotaRequest, reported: bool) -> None:
         """Charge a request to the quota; `reported` says that the counter has its units or will get them.
 
         The slice does not fall below zero: the rest is charged to what other gateways have not used of the
@@ -114,11 +118,11 @@
         accounting.reported_units = accounting.counted_units if reported else request.units
         accounting.estimate_charge = min(request.units, max(0.0, self.estimate.level(now)))
         self.estimate.own_use += accounting.estimate_charge
-        accounting.charges.append(Charge(self.slice, self.slice.take(request.units, 0.0)))
+        accounting.charges.append(Charge(self.slice, self.slice.take_units(request.units, 0.0)))
         self.counted_use.unreported_units += 0.0 if reported else request.units
         self.total_used_units += request.units
 
-    def refund(self, request: QuotaRequest) -> None:
+    def refund_request(self, request: QuotaRequest) -> None:
         """Undo the charges of a request to the quota and the ceiling: each bucket gets back its own part."""
         accounting = request.accounting
         for charge in accounting.charges:
@@ -130,7 +134,7 @@
         accounting.estimate_charge = 0.0
         accounting.reported_units = 0.0
 
-    def settle(self, units: float) -> None:
+    def settle_units(self, units: float) -> None:
         """Charge the true units of a request minus its estimated ones; a negative difference is refunded."""
         self.estimate.own_use += units
         self.slice.refund_units(-units)
--- a/ingress/decisions/gateway.py
+++ b/ingress/decisions/gateway.py
@@ -33,14 +33,14 @@
         self.rng = random.Random(seed)
         """The only source of randomness, which all parts of the gateway use."""
         self.sink = ActionSink()
-        self.process = ProcessStart()
+        self.process_start = ProcessStart()
         self.requests: dict[str, PendingRequest] = {}
         """The requests that have no final answer yet, by id."""
         self._build_load_control()
         self._build_quota()
         self._build_attempts()
         self._build_intake()
-        self.gossip = GossipExchange(self.peers, self.admission, self.process, self.sink)
+        self.gossip = GossipExchange(self.peer_reports, self.admission, self.process_start, self.sink)
         self.timers = Timers(settings, self.rng, self.admission, self.counter, self.gossip, self.sink)
         self._handlers: dict[type, Callable[[float, Any], None]] = {
             api.Request: self.request_intake.receive_request,
@@ -48,7 +48,7 @@
             api.StreamStarted: self.request_intake.record_stream_start,
             api.AttemptEnded: self.outcome_handler.handle_attempt_end,
             api.CounterReply: self.request_decision.handle_counter_reply,
-            api.GossipReceived: self.gossip.receive,
+            api.GossipReceived: self.gossip.receive_report,
             api.EndpointUpdate: self._update_endpoints,
             api.TimerFired: self.timers.handle_timer,
         }
@@ -57,23 +57,23 @@
     def _build_load_control(self) -> None:
         self.answer_times = AnswerTimes(self.settings)
         self.balancer = LoadBalancer(self.settings, self.answer_times, self.rng)
-        self.overload = OverloadDetector(self.balancer.load_totals)
+        self.overload_detector = OverloadDetector(self.balancer.load_totals)
         self.request_ranking = RequestRanking(self.answer_times, self.rng)
-        self.retry_policy = RetryPolicy(self.settings, self.answer_times, self.overload)
+        self.retry_policy = RetryPolicy(self.settings, self.answer_times, self.overload_detector)
 
     def _build_quota(self) -> None:
-        self.peers = PeerReports(report_period(self.settings))
+        self.peer_reports = PeerReports(report_period(self.settings))
         self.counter = UsageCounter(self.settings, self.rng, uses_counter(self.settings), self.sink.emit)
-        self.admission = Admission(self.settings, self.counter, self.peers)
+        self.admission = Admission(self.settings, self.counter, self.peer_reports)
 
     def _build_attempts(self) -> None:
         self.final_answers = FinalAnswers(self.settings, self.requests, self.counter, self.sink)
-        self.attempts = AttemptTracker(
-            self.balancer, self.overload, self.retry_policy, self.counter, self.sink
+        self.attempt_tracker = AttemptTracker(
+            self.balancer, self.overload_detector, self.retry_policy, self.counter, self.sink
         )
         self.outcome_handler = AttemptOutcomeHandler(
             self.requests,
-            self.attempts,
+            self.attempt_tracker,
             OutcomeRecorder(self.balancer, self.answer_times, self.counter),
             self.retry_policy,
             self.counter,
@@ -84,11 +84,11 @@
         self.request_decision = RequestDecision(
             self.admission,
             self.counter,
-            self.overload,
+            self.overload_detector,
             self.request_ranking,
-            self.attempts,
+            self.attempt_tracker,
             self.final_answers,
-            self.process,
+            self.process_start,
         )
         self.request_intake = RequestIntake(
             self.settings,
@@ -98,7 +98,7 @@
             self.answer_times,
             self.request_decision,
             self.final_answers,
-            self.process,
+            self.process_start,
         )
 
     @property
@@ -109,7 +109,7 @@
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
         """Handle an event that came at `now` (s, never less than before); return the resulting actions."""
         self.sink.begin_event()
-        if not self.process.is_known:
+        if not self.process_start.is_known:
             self._start_process(now)
         handler = self._handlers.get(type(event))
         if handler is not None:
@@ -117,9 +117,9 @@
         return self.sink.actions
 
     def _start_process(self, now: float) -> None:
-        self.process.record_first_event(now)
+        self.process_start.record_first_event(now)
         # Until the first reply, the counter is assumed to be up but overloaded.
-        self.counter.last_reply_at = now
+        self.counter.last_success_at = now
         self.timers.start()
 
     def _update_endpoints(self, now: float, event: api.EndpointUpdate) -> None:
--- a/ingress/decisions/gossip_exchange.py
+++ b/ingress/decisions/gossip_exchange.py
@@ -19,7 +19,7 @@
         self.process = process
         self.sink = sink
 
-    def receive(self, now: float, event: api.GossipReceived) -> None:
+    def receive_report(self, now: float, event: api.GossipReceived) -> None:
         """Take the use that a peer reports off the estimates of the customers that are known here."""
         for customer_hash, units in self.peer_reports.read_report(event, now, self.process.incarnation):
             customer = self.admission.customers_by_hash.get(customer_hash)
@@ -32,6 +32,6 @@
         customers.sort(key=lambda customer: -abs(customer.counted_use.unreported_units))
         totals = ((customer.hash, customer.total_used_units) for customer in customers)
         report = format_report(self.process.incarnation, totals)
-        for customer in customers[: report.included]:
+        for customer in customers[: report.included_count]:
             customer.counted_use.unreported_units = 0.0
         self.sink.emit(api.SendGossip(report.text))
--- a/ingress/decisions/overload.py
+++ b/ingress/decisions/overload.py
@@ -90,7 +90,7 @@
         concurrency limits and from the mean time in flight; the greater result applies.
         """
         utilization = (
-            self.load_totals.attempts_out / self.load_totals.limit if self.load_totals.limit else 1.0
+            self.load_totals.attempts_in_flight / self.load_totals.limit if self.load_totals.limit else 1.0
         )
         share_by_time = (self.update_mean_time_in_flight(now) - SHED_START_TIME) / (
             SHED_ALL_TIME - SHED_START_TIME
--- a/ingress/decisions/peer_reports.py
+++ b/ingress/decisions/peer_reports.py
@@ -55,10 +55,10 @@
         report = parse_report(event.text)
         if report is None:
             return []
-        peer = self.peers.get(event.sender) or PeerState()
+        peer = self.peers.get(event.sender_index) or PeerState()
         if report.incarnation < peer.incarnation:
             return []
-        self.peers[event.sender] = peer
+        self.peers[event.sender_index] = peer
         if report.incarnation > peer.incarnation:
             peer.incarnation = report.incarnation
             peer.totals = {}
--- a/ingress/decisions/quota_request.py
+++ b/ingress/decisions/quota_request.py
@@ -11,7 +11,7 @@
 class QuotaAccounting:
     """What a request has taken from its customer's limits, and what the shared counter knows of it."""
 
-    inside_quota: bool = False
+    is_inside_quota: bool = False
     """Whether the request was admitted inside the quota."""
     charges: list[Charge] = field(default_factory=list)
     """Units taken from each bucket."""
@@ -21,7 +21,7 @@
     """Units that the counter knows of, or will get with a later call."""
     counted_units: float = 0.0
     """Units that a call to the counter has added for the request."""
-    sampled: bool = False
+    is_covered_by_samples: bool = False
     """Whether the counter was not asked because sampled requests represent this one in the count."""
 
 
--- a/ingress/decisions/request.py
+++ b/ingress/decisions/request.py
@@ -23,7 +23,7 @@
 class AttemptHistory:
     """The attempts of a request."""
 
-    sent: list[SentAttempt] = field(default_factory=list)
+    sent_attempts: list[SentAttempt] = field(default_factory=list)
     """All attempts, in the order in which they were sent."""
     in_flight: dict[int, TrackedBackend] = field(default_factory=dict)
     """The backends of the attempts that have no outcome yet, by the attempt's number."""
@@ -45,11 +45,11 @@
         self.plan = customer.plan
         self.is_client_retry = event.is_client_retry
         """Whether the client marked the request as a retry."""
-        self.returned_early = self._arrives_before_refill(now)
+        self.arrived_before_refill = self._arrives_before_refill(now)
         """Whether the customer's slice could not refill by the request's units since its previous request."""
         self.deadline = now + event.remaining_time
         """Time (s) at which the client stops waiting; infinite once the answer, a stream, has begun."""
-        self.too_late = False
+        self.is_too_late = False
         """Whether the request can no longer be answered within its latency objective."""
         self.is_finished = False
         """Whether the request has its final answer, or its client has left."""
@@ -59,7 +59,7 @@
 
     def _arrives_before_refill(self, now: float) -> bool:
         slice_rate = self.customer.slice.rate
-        return self.plan.rate > 0 and now - self.customer.seen_at < self.units / slice_rate
+        return self.plan.rate > 0 and now - self.customer.last_seen_at < self.units / slice_rate
 
     def may_reject(self) -> bool:
         """Return whether the final answer may be "rejected", which guarantees that a retry is safe."""
@@ -69,7 +69,7 @@
     def may_send(self, backend: TrackedBackend, now: float, settings: api.Settings) -> bool:
         """Return whether `backend` may get one more attempt without the request taking effect twice."""
         attempts = self.attempts
-        if len(attempts.sent) >= settings.max_attempts:
+        if len(attempts.sent_attempts) >= settings.max_attempts:
             return False
         if attempts.in_flight and not settings.hedging:
             return False
@@ -81,7 +81,7 @@
         window = self.request_class.deduplication_window
         return all(
             now + settings.tick < earlier_attempt.sent_at + window
-            and self._deduplicates(backend.info, earlier_attempt.backend.info)
+            and self._deduplicates(backend.entry, earlier_attempt.backend.entry)
             for earlier_attempt in attempts.possibly_executed
         )
 
--- a/ingress/decisions/request_decision.py
+++ b/ingress/decisions/request_decision.py
@@ -46,7 +46,7 @@
         if request.is_finished:  # its client left while it awaited the counter's reply
             self.counter.withdraw_units(request)
             return
-        request.accounting.inside_quota = self.admission.inside_quota(now, request)
+        request.accounting.is_inside_quota = self.admission.is_inside_quota(now, request)
         shed_share = self.overload_detector.shed_share(now)
         is_within_limits = self._is_within_limits(now, request, shed_share)
         is_shed = shed_share > self.request_ranking.rank_request(request)
@@ -59,20 +59,20 @@
 
     def _is_within_limits(self, now: float, request: PendingRequest, shed_share: float) -> bool:
         plan = request.plan
-        is_under_ceiling = not plan.ceiling_rate or request.customer.under_ceiling(now, request.units)
+        is_under_ceiling = not plan.ceiling_rate or request.customer.is_under_ceiling(now, request.units)
         is_over_quota_worthwhile = (
             plan.over_quota_weight_share > plan.over_quota_cost_share
             and shed_share < MAX_OVER_QUOTA_SHED_SHARE
         )
-        return (request.accounting.inside_quota or is_over_quota_worthwhile) and is_under_ceiling
+        return (request.accounting.is_inside_quota or is_over_quota_worthwhile) and is_under_ceiling
 
     def handle_counter_reply(self, now: float, event: api.CounterReply) -> None:
         """Process a reply of the shared counter and decide on the requests that waited for it."""
         customer = self.counter.handle_reply(now, event, self.process_start.started_at)
         if customer is None:
             return
-        waiting_requests = customer.awaiting_counter
-        customer.awaiting_counter = []
+        waiting_requests = customer.requests_awaiting_counter
+        customer.requests_awaiting_counter = []
         for request in waiting_requests:
             # `Customer` cannot import `PendingRequest`, which imports it; `RequestIntake` adds no other type.
             self.decide(now, cast(PendingRequest, request))
--- a/ingress/decisions/request_intake.py
+++ b/ingress/decisions/request_intake.py
@@ -40,21 +40,21 @@
     def receive_request(self, now: float, event: api.Request) -> None:
         """Accept a request and decide on it, at once or after a reply of the shared counter."""
         request = self._create_pending_request(now, event)
-        if request.too_late and not request.request_class.late_weight_share:
+        if request.is_too_late and not request.request_class.late_weight_share:
             self.final_answers.finish_request(request)
         elif self._must_await_counter(now, request):
-            request.customer.awaiting_counter.append(request)
+            request.customer.requests_awaiting_counter.append(request)
         else:
             self.request_decision.decide(now, request)
 
     def _create_pending_request(self, now: float, event: api.Request) -> PendingRequest:
         plan = self.plans[event.plan]
         request_class = self.classes[event.request_class]
-        customer = self.admission.find_customer(now, event, plan, self.process_start.age(now))
+        customer = self.admission.get_or_create_customer(now, event, plan, self.process_start.age(now))
         request = PendingRequest(event, request_class, customer, now)
         self.requests[event.id] = request
-        customer.seen_at = now  # set last, as `PendingRequest` reads the time of the previous request
-        request.too_late = self._is_too_late(event, request_class)
+        customer.last_seen_at = now  # set last, as `PendingRequest` reads the time of the previous request
+        request.is_too_late = self._is_too_late(event, request_class)
         return request
 
     def _is_too_late(self, event: api.Request, request_class: api.RequestClass) -> bool:
@@ -76,7 +76,7 @@
         """Return whether the request has to wait for a reply of the counter; call the counter if needed."""
         if not request.plan.rate or not self.admission.needs_counter(now, request):
             return False
-        is_ceiling_short = self.admission.ceiling_slice_short(now, request)
+        is_ceiling_short = self.admission.is_ceiling_slice_short(now, request)
         return self.counter.request_total(now, request.customer, request, is_ceiling_short)
 
     def cancel_request(self, _now: float, event: api.RequestCancelled) -> None:
--- a/ingress/decisions/request_ranking.py
+++ b/ingress/decisions/request_ranking.py
@@ -36,7 +36,7 @@
 
     def _value_density(self, request: PendingRequest) -> float:
         request_class = request.request_class
-        weight_share = request_class.late_weight_share if request.too_late else 1.0
+        weight_share = request_class.late_weight_share if request.is_too_late else 1.0
         weight = request_class.priority_weight * weight_share * request.plan.weight_factor
         return weight / self.answer_times.mean(request_class)
 
--- a/ingress/decisions/retry_policy.py
+++ b/ingress/decisions/retry_policy.py
@@ -33,7 +33,7 @@
     def record_retry(self, proves_not_executed: bool) -> None:
         """Charge a retry to the budget, unless it is proven that no backend executed the previous attempt."""
         if not proves_not_executed:
-            self.budget.take(1.0)
+            self.budget.take_units(1.0)
 
     def may_retry(self, now: float, request: PendingRequest, proves_not_executed: bool) -> bool:
         """Return whether a retry can be answered in time and is allowed by the budget and the spare capacity.
@@ -67,7 +67,7 @@
     def _may_send_another_attempt(self, request: PendingRequest) -> bool:
         return (
             request.request_class.idempotency is not api.Idempotency.NOT_IDEMPOTENT
-            and len(request.attempts.sent) < self.settings.max_attempts
+            and len(request.attempts.sent_attempts) < self.settings.max_attempts
             and self._has_budget()
         )
 
--- a/ingress/decisions/slow_start.py
+++ b/ingress/decisions/slow_start.py
@@ -46,15 +46,15 @@
         budget = backend.slow_start_budget
         budget.rate = self._compute_budget_rate(backend, now)
         has_room = len(backend.attempts_in_flight) < max(1.0, budget.rate)
-        return has_room and budget.fits(now, work, max(1.0, work))
+        return has_room and budget.has_units(now, work, max(1.0, work))
 
     def _measure_warm_rate(self, now: float) -> None:
         """Update the rate of warm backends, unless too few of the candidates are warm for a good estimate."""
         candidates = self.candidate_set.candidates
         warm_weight = sum(
-            other.info.weight for other in candidates if not other.is_warming_up(now, self.settings)
+            other.entry.weight for other in candidates if not other.is_warming_up(now, self.settings)
         )
-        if warm_weight >= max(MIN_DIVISOR, MIN_WARM_SHARE * sum(other.info.weight for other in candidates)):
+        if warm_weight >= max(MIN_DIVISOR, MIN_WARM_SHARE * sum(other.entry.weight for other in candidates)):
             # Answers of all ready backends are counted, of which the candidates are a sample.
             scale = len(self.candidate_set.ready_backends) / len(candidates)
             self.warm_rate_per_weight = self.answer_rate / (warm_weight * scale)
@@ -62,14 +62,14 @@
     def _compute_budget_rate(self, backend: TrackedBackend, now: float) -> float:
         """Return the work per second that this gateway may send to a backend that warms up."""
         settings = self.settings
-        age = now - backend.info.started
+        age = now - backend.entry.started
         initial_share = settings.slow_start_initial_share
         capacity_share = initial_share + (1 - initial_share) * age / max(
             settings.slow_start_duration, MIN_DIVISOR
         )
-        gateway_count = self.candidate_set.subsetting.count_gateways_preferring(backend.info.id)
+        gateway_count = self.candidate_set.subsetting.count_gateways_preferring(backend.entry.id)
         # The rate that a warm backend of this weight gets from all gateways, divided among those that have
         # this backend in their subset: only they send to it while it warms up.
-        warm_rate = self.warm_rate_per_weight * backend.info.weight * settings.instance_count / gateway_count
+        warm_rate = self.warm_rate_per_weight * backend.entry.weight * settings.instance_count / gateway_count
         min_rate = MIN_BUDGET_IN_WINDOW / (settings.overload_window * gateway_count)
         return max(min_rate, SAFETY_MARGIN * settings.overload_factor * min(1.0, capacity_share) * warm_rate)
--- a/ingress/decisions/subset.py
+++ b/ingress/decisions/subset.py
@@ -13,7 +13,9 @@
 from ingress.decisions.hash_ring import HashRing, ring_hashes
 
 SUBSET_SIZE = 12  # backends: few enough to observe each of them often, enough to tolerate the loss of some
-MIN_HOLDERS = 2  # mean number of gateways that prefer a backend; subsets grow if there are few gateways
+MIN_GATEWAYS_PER_BACKEND = (
+    2  # mean number of gateways that prefer a backend; subsets grow if there are few gateways
+)
 RESERVE_SIZE = 244  # further candidates, used when the subset is full or down
 
 
@@ -102,7 +104,7 @@
     def _compute_sizes_by_ring(self) -> tuple[int, int]:
         """Return how many backends of a subset come from the first ring and from the second."""
         count = len(self.backend_ids)
-        size = min(max(SUBSET_SIZE, ceil(MIN_HOLDERS * count / self.instance_count)), count)
+        size = min(max(SUBSET_SIZE, ceil(MIN_GATEWAYS_PER_BACKEND * count / self.instance_count)), count)
         return size // 2, size - size // 2
 
     def _find_ids_after_slot(self, count: int) -> list[list[str]]:
--- a/ingress/decisions/timers.py
+++ b/ingress/decisions/timers.py
@@ -61,7 +61,7 @@
         self.counter = counter
         self.gossip = gossip
         self.sink = sink
-        self.period = report_period(settings)
+        self.tick_period = report_period(settings)
         """Seconds between two ticks."""
         self.last_eviction_at = 0.0
         """Time of the last eviction of idle customers (s)."""
@@ -73,7 +73,7 @@
 
         The delay of the first tick is random, so that the gateways of a fleet do not tick at the same time.
         """
-        self.sink.emit(api.SetTimer(self.period * self.rng.random(), TICK_TOKEN))
+        self.sink.emit(api.SetTimer(self.tick_period * self.rng.random(), TICK_TOKEN))
         if self.settings.poll_discovery:
             self.sink.emit(api.SubscribeEndpoints())
 
@@ -97,10 +97,10 @@
             self._run_periodic_work(now)
 
     def _run_periodic_work(self, now: float) -> None:
-        self.sink.emit(api.SetTimer(self.period, TICK_TOKEN))
+        self.sink.emit(api.SetTimer(self.tick_period, TICK_TOKEN))
         if now - self.last_eviction_at > EVICTION_PERIOD_S:
             self.last_eviction_at = now
             self.admission.evict_idle(now)
         self.counter.report_large_use(now)
-        if not self.counter.enabled and self.settings.gossip:
+        if not self.counter.is_enabled and self.settings.gossip:
             self.gossip.send_report()
--- a/ingress/decisions/token_bucket.py
+++ b/ingress/decisions/token_bucket.py
@@ -20,7 +20,7 @@
     updated_at: float
     """Time in seconds of the last refill."""
 
-    def fits(self, now: float, units: float, capacity: float | None = None) -> bool:
+    def has_units(self, now: float, units: float, capacity: float | None = None) -> bool:
         """Refill the bucket and return whether it holds `units`.
 
         `capacity` replaces the bucket's own capacity in this call, so that the bucket can collect the units
@@ -34,9 +34,9 @@
 
     def refill(self, now: float) -> None:
         """Add the units that have accrued since the last refill."""
-        self.fits(now, 0.0)
+        self.has_units(now, 0.0)
 
-    def take(self, units: float, floor: float = -inf) -> float:
+    def take_units(self, units: float, floor: float = -inf) -> float:
         """Take up to `units` without letting the level fall below `floor`; return the units taken."""
         taken = min(units, self.level - floor)
         self.level -= taken
--- a/ingress/decisions/usage_counter.py
+++ b/ingress/decisions/usage_counter.py
@@ -23,9 +23,9 @@
     def __init__(
         self, settings: api.Settings, rng: random.Random, enabled: bool, emit: Callable[[api.Action], None]
     ) -> None:
-        self.enabled = enabled
+        self.is_enabled = enabled
         """Whether this deployment uses the counter."""
-        self.last_reply_at = NEVER
+        self.last_success_at = NEVER
         """Time in seconds of the last reply to a successful call."""
         self.sampling = CountSampling(settings, rng)
         """The choice of the requests that the counter is asked about."""
@@ -52,7 +52,7 @@
         The call adds the request's own units too, so that two gateways that ask at the same time do not both
         get the same units.  Without a request, return whether the call was sent.
         """
-        if not self.enabled:
+        if not self.is_enabled:
             return False
         if customer.counted_use.has_call_in_flight:
             return request is not None  # the reply to that call serves this request too
@@ -80,7 +80,7 @@
 
     def report_large_use(self, now: float) -> None:
         """Report use that has become large while the counter was not asked about any request."""
-        if self.enabled:
+        if self.is_enabled:
             self.calls.report_large_use(now)
 
     def handle_reply(self, now: float, event: api.CounterReply, process_started_at: float) -> Customer | None:
@@ -99,7 +99,7 @@
     def _record_total(
         self, now: float, event: api.CounterReply, call: CounterCall, process_started_at: float
     ) -> None:
-        self.last_reply_at = now
+        self.last_success_at = now
         self.sampling.record_reply(event.latency)
         self.learning.apply_total(now, call, event.total, process_started_at)
         self.sampling.record_quota_availability(now, call.customer)
--- a/ingress/discovery/endpoint_list.py
+++ b/ingress/discovery/endpoint_list.py
@@ -54,7 +54,7 @@
 _entry_decoder: msgspec.json.Decoder[EndpointEntry] = msgspec.json.Decoder(EndpointEntry)
 
 
-def max_body_bytes(max_buffered_bytes: int) -> int:
+def compute_max_body_bytes(max_buffered_bytes: int) -> int:
     """Return how many bytes an answer may have if `max_buffered_bytes` may be buffered for one purpose."""
     return min(MAX_ENTRIES * ENTRY_BYTES, int(max_buffered_bytes * MAX_BODY_SHARE))
 
--- a/ingress/downstream/command_buffer.py
+++ b/ingress/downstream/command_buffer.py
@@ -7,7 +7,7 @@
 import hiredis
 
 from ingress.network.buffer_budget import BufferBudget
-from ingress.network.frames import array_end
+from ingress.network.frames import find_array_end
 
 MAX_ARGUMENT_BYTES = 64 * 1024
 MAX_COMMAND_BYTES = 256 * 1024
@@ -49,7 +49,7 @@
         command cannot be interpreted either.
         """
         start = self._taken_bytes
-        end = array_end(self._data, start, MAX_ARGUMENTS, MAX_ARGUMENT_BYTES, MAX_COMMAND_BYTES)
+        end = find_array_end(self._data, start, MAX_ARGUMENTS, MAX_ARGUMENT_BYTES, MAX_COMMAND_BYTES)
         if end < 0:
             return None
         self._reader.feed(bytes(self._data[start:end]))
--- a/ingress/gossip_codec.py
+++ b/ingress/gossip_codec.py
@@ -29,7 +29,7 @@
     """An encoded message."""
 
     text: str
-    included: int
+    included_count: int
     """Number of totals that the text holds."""
 
 
--- a/ingress/interface/actions.py
+++ b/ingress/interface/actions.py
@@ -16,7 +16,7 @@
     """Id of the backend."""
     timeout: float = 0.0
     """Seconds after which the host gives up the attempt; 0: it waits until the client's deadline."""
-    write_within: float = 0.0
+    max_write_delay: float = 0.0
     """Seconds within which the host must write the attempt to a connection, or not send it; 0: no limit."""
 
 
@@ -83,7 +83,7 @@
 
     text: str
     """The message; at most 256 bytes."""
-    peer: int | None = None
+    peer_index: int | None = None
     """Index of the gateway that receives the message; None: all other gateways."""
 
 
@@ -103,7 +103,7 @@
 class SubscribeEndpoints:
     """Begin or end the watch on the endpoint list."""
 
-    on: bool = True
+    is_enabled: bool = True
     """Whether the watch begins; False ends it."""
 
 
--- a/ingress/interface/events.py
+++ b/ingress/interface/events.py
@@ -147,7 +147,7 @@
 class GossipReceived:
     """A gossip message of another gateway has arrived."""
 
-    sender: int
+    sender_index: int
     """Index of the gateway that sent the message."""
     text: str
     """The message."""
--- a/ingress/network/frames.py
+++ b/ingress/network/frames.py
@@ -24,7 +24,7 @@
     """
 
 
-def array_end(
+def find_array_end(
     data: bytes | bytearray,
     start: int,
     max_items: int,
--- a/ingress/process/action_executor.py
+++ b/ingress/process/action_executor.py
@@ -76,7 +76,7 @@
         self.counter.increment(action.name, action.add, action.lifetime)
 
     def _close_idle_connections(self, action: api.CloseIdleConnections) -> None:
-        self.attempt_dispatcher.pool.close_idle(action.backend)
+        self.attempt_dispatcher.pool.close_idle_connections(action.backend)
 
     def _log_message(self, action: api.LogMessage) -> None:
         log.info("%s", action.text)
--- a/ingress/process/attempt_dispatcher.py
+++ b/ingress/process/attempt_dispatcher.py
@@ -62,24 +62,24 @@
             )
             return
         if request.attempt is not None:
-            self.pool.cancel(request.attempt)  # a request has at most one attempt in flight
+            self.pool.cancel_attempt(request.attempt)  # a request has at most one attempt in flight
         attempt = _create_attempt(request, attempt_number, action, now)
         request.attempt = attempt
         self.in_flight[request.key, attempt_number] = attempt
-        self.pool.start(attempt)
+        self.pool.start_attempt(attempt)
 
     def cancel(self, key: str, attempt_number: int) -> None:
         """Cancel an attempt if it is in flight."""
         attempt = self.in_flight.get((key, attempt_number))
         if attempt is not None:
-            self.pool.cancel(attempt)
+            self.pool.cancel_attempt(attempt)
 
     def on_attempt_ended(
         self, attempt: Attempt, outcome: api.Outcome, value: bytes | None, load_report: dict[str, float]
     ) -> None:
         """Answer the request with the value, if any, and report the outcome to the decision module."""
-        request = self.requests.get(attempt.request)
-        self.in_flight.pop((attempt.request, attempt.number), None)
+        request = self.requests.get(attempt.request_key)
+        self.in_flight.pop((attempt.request_key, attempt.number), None)
         if request is not None:
             if request.attempt is attempt:
                 request.attempt = None
@@ -87,11 +87,11 @@
                 self.answer_request(request, encode_bulk_string(value))
         self.feed(
             api.AttemptEnded(
-                attempt.request,
+                attempt.request_key,
                 attempt.number,
-                attempt.backend,
+                attempt.backend_id,
                 outcome,
-                self.clock() - attempt.sent,
+                self.clock() - attempt.sent_at,
                 request is None or request.is_answered,
                 load_report=load_report,
             )
@@ -109,5 +109,5 @@
         now,
         min(final_deadline, now + action.timeout) if action.timeout else final_deadline,
         request.command.encode_parts(),
-        now + action.write_within if action.write_within else inf,
+        now + action.max_write_delay if action.max_write_delay else inf,
     )
--- a/ingress/process/ingress.py
+++ b/ingress/process/ingress.py
@@ -12,7 +12,7 @@
 import ingress.interface as api
 from ingress.counter.client import CounterClient
 from ingress.decisions import Gateway
-from ingress.discovery.endpoint_list import EndpointList, max_body_bytes
+from ingress.discovery.endpoint_list import EndpointList, compute_max_body_bytes
 from ingress.discovery.timing import watch_timing
 from ingress.discovery.watch import EndpointWatch
 from ingress.downstream.listener import ClientListener
@@ -141,7 +141,7 @@
             self.rng,
             version,
             watch_timing(is_pushed=not self.settings.poll_discovery),
-            max_body_bytes=max_body_bytes(self.config.max_buffered_bytes),
+            max_body_bytes=compute_max_body_bytes(self.config.max_buffered_bytes),
         )
         self.watch = self.loop.create_task(watch.run())
 
@@ -160,7 +160,7 @@
 
     def _cancel_if_unsent(self, attempt: Attempt) -> None:
         # This method exists because the request service, which calls it, is created before the pool.
-        self.pool.cancel_if_unsent(attempt)
+        self.pool.cancel_attempt_if_unsent(attempt)
 
     # Events of the decision module
 
--- a/ingress/simulator/codec.py
+++ b/ingress/simulator/codec.py
@@ -219,11 +219,11 @@
             return {"m": "Inspect", "backend": backend_id}
         case api.CloseIdleConnections(backend=backend_id):
             return {"m": "Close", "backend": backend_id}
-        case api.SendGossip(text=text, peer=peer_index):
+        case api.SendGossip(text=text, peer_index=peer_index):
             return {"m": "Share", "recipient": "all" if peer_index is None else peer_index, "content": text}
         case api.IncrementCounter(name=count_name, add=amount, lifetime=lifetime):
             return {"m": "Tally", "name": count_name, "add": amount, "lifetime-s": lifetime}
-        case api.SubscribeEndpoints(on=is_enabled):
+        case api.SubscribeEndpoints(is_enabled=is_enabled):
             return {"m": "Tail", "on": is_enabled}
         case api.FetchEndpoints():
             return {"m": "Lookup"}
--- a/ingress/upstream/attempt.py
+++ b/ingress/upstream/attempt.py
@@ -27,10 +27,10 @@
 class Attempt:
     """One attempt of a request at one backend.  Its times are in seconds on the pool's clock."""
 
-    request: str  # key of the request that the attempt belongs to
+    request_key: str  # key of the request that the attempt belongs to
     number: int  # index of the attempt among the attempts of its request, from 0
-    backend: str  # id of the backend that the attempt goes to
-    sent: float  # time at which the decision module sent the attempt
+    backend_id: str  # id of the backend that the attempt goes to
+    sent_at: float  # time at which the decision module sent the attempt
     deadline: float  # time at which the attempt times out
     command_parts: CommandParts
     write_deadline: float = inf  # time after which the command must not be written
--- a/ingress/upstream/connection.py
+++ b/ingress/upstream/connection.py
@@ -21,7 +21,7 @@
 
     address: Address
     is_listed: bool
-    idle: list[BackendConnection]
+    idle_connections: list[BackendConnection]
 
 
 class ConnectionOwner(Protocol):
--- a/ingress/upstream/endpoint.py
+++ b/ingress/upstream/endpoint.py
@@ -15,13 +15,15 @@
     """The endpoint of a backend that at least one attempt was sent to."""
 
     address: Address
-    idle: list[BackendConnection] = field(default_factory=list)  # the most recently used one is the last
+    idle_connections: list[BackendConnection] = field(
+        default_factory=list
+    )  # the most recently used one is the last
     is_draining: bool = False  # True also once the backend was removed; no attempt is written to it then
     is_listed: bool = True  # False once the backend was removed; listing its id again makes a new endpoint
 
     def close_idle_connections(self) -> None:
         """Close the connections that are idle."""
-        for connection in list(self.idle):
+        for connection in list(self.idle_connections):
             connection.close()
 
 
@@ -34,7 +36,9 @@
     def __init__(self) -> None:
         self.addresses = AddressBook()  # addresses of all listed backends
         self.draining_ids: set[str] = set()  # ids of the draining backends
-        self.contacted: dict[str, UpstreamEndpoint] = {}  # by backend id, those that an attempt was sent to
+        self.contacted_endpoints: dict[
+            str, UpstreamEndpoint
+        ] = {}  # by backend id, those that an attempt was sent to
 
     def find_or_create(self, backend_id: str) -> UpstreamEndpoint | None:
         """Return the backend's endpoint, and create it if there is none yet.
@@ -43,15 +47,17 @@
         """
         if backend_id in self.draining_ids or backend_id not in self.addresses:
             return None
-        endpoint = self.contacted.get(backend_id)
+        endpoint = self.contacted_endpoints.get(backend_id)
         if endpoint is None:
             endpoint = UpstreamEndpoint(self.addresses[backend_id])
-            self.contacted[backend_id] = endpoint
+            self.contacted_endpoints[backend_id] = endpoint
         return endpoint
 
     def replace_list(self, backends: tuple[Backend, ...], addresses: Mapping[str, Address]) -> None:
         """Apply a full list: backends that are not in it are removed."""
-        for backend_id in [backend_id for backend_id in self.contacted if backend_id not in addresses]:
+        for backend_id in [
+            backend_id for backend_id in self.contacted_endpoints if backend_id not in addresses
+        ]:
             self._remove_backend(backend_id)
         self.addresses = AddressBook.copy_of(addresses)
         self.draining_ids.clear()
@@ -60,7 +66,7 @@
         if len(addresses) < len(backends):
             backends_to_apply = list(backends)  # some id has several entries, of which the last one applies
         self.update_entries(backends_to_apply, addresses)
-        for backend_id in list(self.contacted):
+        for backend_id in list(self.contacted_endpoints):
             self._refresh_endpoint(backend_id)
 
     def update_entries(
@@ -83,7 +89,7 @@
 
     def _refresh_endpoint(self, backend_id: str) -> None:
         """Bring the endpoint of the backend, if there is one, up to date with the list."""
-        endpoint = self.contacted.get(backend_id)
+        endpoint = self.contacted_endpoints.get(backend_id)
         if endpoint is None:
             return
         address = self.addresses[backend_id]
@@ -101,7 +107,7 @@
         """
         self.addresses.discard(backend_id)
         self.draining_ids.discard(backend_id)
-        endpoint = self.contacted.pop(backend_id, None)
+        endpoint = self.contacted_endpoints.pop(backend_id, None)
         if endpoint is not None:
             endpoint.is_listed = False
             endpoint.is_draining = True
--- a/ingress/upstream/idle.py
+++ b/ingress/upstream/idle.py
@@ -28,11 +28,11 @@
         would be taken for the next reply.  A connection is therefore reused only after the reuse delay, and
         closed if it has unread bytes.
         """
-        for connection in reversed(endpoint.idle[:]):
+        for connection in reversed(endpoint.idle_connections[:]):
             if connection.idle_since > now - self.reuse_delay_s:
                 continue
             if connection.idle_since >= now - self.idle_timeout_s and is_open_without_input(connection.sock):
-                endpoint.idle.remove(connection)
+                endpoint.idle_connections.remove(connection)
                 return connection
             connection.close()
         return None
@@ -51,7 +51,11 @@
     def close_longest_idle(self) -> bool:
         """Close the connection that has been idle for the longest time; return whether there was one."""
         longest_idle = min(
-            (endpoint.idle[0] for endpoint in self.endpoints.contacted.values() if endpoint.idle),
+            (
+                endpoint.idle_connections[0]
+                for endpoint in self.endpoints.contacted_endpoints.values()
+                if endpoint.idle_connections
+            ),
             key=lambda connection: connection.idle_since,
             default=None,
         )
@@ -63,11 +67,11 @@
     def close_expired(self, now: float) -> None:
         """Close the connections whose idle timeout is over, before their backends do."""
         min_idle_since = now - self.idle_timeout_s
-        for endpoint in self.endpoints.contacted.values():
-            while endpoint.idle and endpoint.idle[0].idle_since < min_idle_since:
-                endpoint.idle[0].close()
+        for endpoint in self.endpoints.contacted_endpoints.values():
+            while endpoint.idle_connections and endpoint.idle_connections[0].idle_since < min_idle_since:
+                endpoint.idle_connections[0].close()
 
     def close_all(self) -> None:
         """Close all idle connections."""
-        for endpoint in self.endpoints.contacted.values():
+        for endpoint in self.endpoints.contacted_endpoints.values():
             endpoint.close_idle_connections()
--- a/ingress/upstream/pool.py
+++ b/ingress/upstream/pool.py
@@ -57,8 +57,8 @@
         self.clock = clock
         self.on_attempt_end = on_attempt_end
         self.loop = asyncio.get_running_loop()
-        self.endpoints = EndpointTable()
-        self.idle = IdleConnections(self.endpoints, backend_idle_timeout_s)
+        self.endpoint_table = EndpointTable()
+        self.idle_connections = IdleConnections(self.endpoint_table, backend_idle_timeout_s)
         self.reply_buffer = BufferBudget(max_buffered_bytes)
         self.connection_count = 0  # connections that are open or being opened
         self.fault_log = RateLimitedLog(log, MAX_LOGGED_FAULTS)
@@ -68,7 +68,7 @@
     def close(self) -> None:
         """Close the idle connections; those in use are closed when the process ends."""
         self.sweep_timer.cancel()
-        self.idle.close_all()
+        self.idle_connections.close_all()
 
     # Endpoints
 
@@ -77,33 +77,33 @@
     ) -> None:
         """Apply a full list of backends, or only the entries that changed."""
         if is_full_list:
-            self.endpoints.replace_list(backends, addresses)
+            self.endpoint_table.replace_list(backends, addresses)
         else:
-            self.endpoints.update_entries(backends, addresses)
+            self.endpoint_table.update_entries(backends, addresses)
 
-    def close_idle(self, backend_id: str) -> None:
+    def close_idle_connections(self, backend_id: str) -> None:
         """Close the idle connections to the backend."""
-        endpoint = self.endpoints.contacted.get(backend_id)
+        endpoint = self.endpoint_table.contacted_endpoints.get(backend_id)
         if endpoint is not None:
             endpoint.close_idle_connections()
 
     # Attempts
 
-    def start(self, attempt: Attempt) -> None:
+    def start_attempt(self, attempt: Attempt) -> None:
         """Send the attempt as soon as a connection can take it."""
-        endpoint = self.endpoints.find_or_create(attempt.backend)
-        time_left = attempt.deadline - attempt.sent
+        endpoint = self.endpoint_table.find_or_create(attempt.backend_id)
+        time_left = attempt.deadline - attempt.sent_at
         if endpoint is None or time_left <= 0:
             self._finish_attempt(attempt, Outcome.CONNECT_FAILED)
             return
         attempt.deadline_timer = self.loop.call_later(time_left, self._on_deadline, attempt)
         self._assign_connection(endpoint, attempt, may_wait_for_reuse=True)
 
-    def cancel(self, attempt: Attempt) -> None:
+    def cancel_attempt(self, attempt: Attempt) -> None:
         """End the attempt, and close the connection that it was written to, if any."""
         self._abandon_attempt(attempt, Outcome.CANCELLED)
 
-    def cancel_if_unsent(self, attempt: Attempt) -> None:
+    def cancel_attempt_if_unsent(self, attempt: Attempt) -> None:
         """End the attempt unless it was fully written; its client has left or has its answer.
 
         An attempt that was fully written continues: closing its connection would not stop the backend's work.
@@ -123,14 +123,16 @@
         if endpoint.is_draining:
             self._finish_attempt(attempt, Outcome.CONNECT_FAILED)
             return
-        connection = self.idle.take_connection(endpoint, self.clock())
+        connection = self.idle_connections.take_connection(endpoint, self.clock())
         if connection is not None:
             self._send_attempt(connection, attempt)
-        elif may_wait_for_reuse and endpoint.idle:
-            self.loop.call_later(self.idle.reuse_delay_s, self._assign_connection, endpoint, attempt, False)
-        elif self.connection_count >= self.max_connections and not self.idle.close_longest_idle():
+        elif may_wait_for_reuse and endpoint.idle_connections:
+            self.loop.call_later(
+                self.idle_connections.reuse_delay_s, self._assign_connection, endpoint, attempt, False
+            )
+        elif self.connection_count >= self.max_connections and not self.idle_connections.close_longest_idle():
             # SUPERSEDED, since a lack of sockets on this machine must not count as a failure of the backend.
-            self.fault_log.warning("upstream connections exhausted backend=%s", attempt.backend)
+            self.fault_log.warning("upstream connections exhausted backend=%s", attempt.backend_id)
             self._finish_attempt(attempt, Outcome.SUPERSEDED)
         else:
             self._start_connecting(endpoint, attempt)
@@ -196,7 +198,7 @@
 
     def _on_connect_failed(self, attempt: Attempt, error: OSError) -> None:
         if is_local_error(error):
-            self.fault_log.warning("upstream connect failed backend=%s reason=%s", attempt.backend, error)
+            self.fault_log.warning("upstream connect failed backend=%s reason=%s", attempt.backend_id, error)
             self._finish_attempt(attempt, Outcome.SUPERSEDED)
         else:
             self._finish_attempt(attempt, Outcome.CONNECT_FAILED)
@@ -223,7 +225,7 @@
 
     def on_malformed_reply(self, attempt: Attempt, error: FrameError) -> None:
         """End the attempt as ERROR: it may have been executed, and its malformed value is not passed on."""
-        self.fault_log.warning("upstream reply malformed backend=%s reason=%s", attempt.backend, error)
+        self.fault_log.warning("upstream reply malformed backend=%s reason=%s", attempt.backend_id, error)
         self._finish_attempt(attempt, Outcome.ERROR)
 
     def on_connection_broken(self, connection: BackendConnection, attempt: Attempt) -> None:
@@ -234,13 +236,13 @@
 
     def on_idle_connection_broken(self, idle_s: float) -> None:
         """Shorten the time for which idle connections are kept."""
-        self.idle.record_broken_connection(idle_s)
+        self.idle_connections.record_broken_connection(idle_s)
 
     def on_connection_closed(self, connection: BackendConnection) -> None:
         """Remove the connection from the pool."""
         self.connection_count -= 1
-        if connection in connection.endpoint.idle:
-            connection.endpoint.idle.remove(connection)
+        if connection in connection.endpoint.idle_connections:
+            connection.endpoint.idle_connections.remove(connection)
 
     def release_connection(self, connection: BackendConnection) -> None:
         """Make the connection idle, or close it if its backend was removed or has another address now."""
@@ -248,8 +250,8 @@
             connection.close()
         elif connection.is_open:
             connection.idle_since = self.clock()
-            connection.endpoint.idle.append(connection)
+            connection.endpoint.idle_connections.append(connection)
 
     def _sweep(self) -> None:
         self.sweep_timer = self.loop.call_later(SWEEP_INTERVAL_S, self._sweep)
-        self.idle.close_expired(self.clock())
+        self.idle_connections.close_expired(self.clock())
--- a/ingress/upstream/replies.py
+++ b/ingress/upstream/replies.py
@@ -12,7 +12,7 @@
 import hiredis
 
 from ingress.interface import Outcome
-from ingress.network.frames import INCOMPLETE, FrameError, array_end
+from ingress.network.frames import INCOMPLETE, FrameError, find_array_end
 from ingress.settings_codec import LOAD_REPORT_FIELDS
 
 MAX_VALUE_BYTES = 1024 * 1024  # some values are far larger than the 64 KiB limit of commands
@@ -42,7 +42,7 @@
     Raise FrameError if the bytes can't become a reply, or if it is too long.
     """
     if data[:1] != b"-":
-        return array_end(data, 0, REPLY_ITEM_COUNT, MAX_VALUE_BYTES, MAX_REPLY_BYTES, allow_null=True)
+        return find_array_end(data, 0, REPLY_ITEM_COUNT, MAX_VALUE_BYTES, MAX_REPLY_BYTES, allow_null=True)
     end = data.find(b"\r\n", 0, MAX_ERROR_LINE_BYTES)
     if end >= 0:
         return end + 2
--- a/scale/cold/backends.py
+++ b/scale/cold/backends.py
@@ -6,7 +6,7 @@
 from dataclasses import dataclass
 
 from ingress.interface import Backend, EndpointUpdate, EndpointUpdateKind, Readiness
-from scale.cold.job import ColdStarts
+from scale.cold.job import ColdStartJob
 
 
 @dataclass(frozen=True, slots=True)
@@ -29,7 +29,7 @@
         return EndpointUpdate(EndpointUpdateKind.UPDATE, removed + self.cold_backends)
 
 
-def plan_replacement(job: ColdStarts, starts_at: float) -> Replacement:
+def plan_replacement(job: ColdStartJob, starts_at: float) -> Replacement:
     """Return the backends of a job; the first of them are replaced or restarted at `starts_at`."""
     initial_backends = tuple(Backend(f"b{number}") for number in range(job.backends))
     replaced_backends = initial_backends[: max(1, round(job.backends * job.replaced_share))]
@@ -43,7 +43,7 @@
 class BackendQueues:
     """The queues of all backends; each serves one request after another, a cold one more slowly."""
 
-    def __init__(self, job: ColdStarts, replacement: Replacement, rng: random.Random) -> None:
+    def __init__(self, job: ColdStartJob, replacement: Replacement, rng: random.Random) -> None:
         self._job = job
         self._replacement = replacement
         self._rng = rng
--- a/scale/cold/fleet.py
+++ b/scale/cold/fleet.py
@@ -21,7 +21,7 @@
     TimerFired,
 )
 from scale.cold.backends import BackendQueues, plan_replacement
-from scale.cold.job import ColdStarts
+from scale.cold.job import ColdStartJob
 from scale.cold.settings import CLASS_NAME, DEADLINE_S, PLAN_NAME, build_settings
 from scale.schedule import Schedule
 
@@ -34,12 +34,12 @@
 class Outcomes:
     """How many requests there were, and when cold backends got theirs."""
 
-    requests: int = 0
-    sent: int = 0
+    request_count: int = 0
+    sent_request_count: int = 0
     """Requests of which an attempt was sent."""
-    informed: dict[str, list[float]] = field(default_factory=dict)
+    arrivals_from_informed: dict[str, list[float]] = field(default_factory=dict)
     """By cold backend: its age (s) at each attempt that came from an ingress that knew of the cold starts."""
-    uninformed: dict[str, list[float]] = field(default_factory=dict)
+    arrivals_from_uninformed: dict[str, list[float]] = field(default_factory=dict)
     """By cold backend: its age (s) at each attempt that came from one of the other ingresses."""
 
 
@@ -60,7 +60,7 @@
     Each has its own stream of requests, and receives the change of the endpoint list at its own time.
     """
 
-    def __init__(self, job: ColdStarts) -> None:
+    def __init__(self, job: ColdStartJob) -> None:
         self._job = job
         self._now = START_TIME_S
         self._rng = random.Random(job.seed)
@@ -73,7 +73,7 @@
             Ingress(Gateway(build_settings(job, number), seed)) for number, seed in enumerate(seeds)
         ]
 
-    def play(self) -> Outcomes:
+    def simulate(self) -> Outcomes:
         """Simulate the warm-up, then the cold starts until all backends are warm."""
         starts_at = self._replacement.starts_at
         for ingress in self._ingresses:
@@ -82,7 +82,7 @@
             )
             self._schedule_request(ingress)
             notice_s = self._rng.uniform(0.0, self._job.longest_notice_s)
-            self._schedule.plan(starts_at + notice_s, partial(self._deliver_update, ingress))
+            self._schedule.add(starts_at + notice_s, partial(self._deliver_update, ingress))
         end = starts_at + self._job.cold_s
         while self._schedule.is_due_before(end):
             due = self._schedule.pop()
@@ -92,7 +92,7 @@
 
     def _schedule_request(self, ingress: Ingress) -> None:
         at = self._now + self._rng.expovariate(self._job.requests_per_s)
-        self._schedule.plan(at, partial(self._handle_arrival, ingress))
+        self._schedule.add(at, partial(self._handle_arrival, ingress))
 
     def _deliver_update(self, ingress: Ingress) -> None:
         """Give the change of the endpoint list to an ingress."""
@@ -101,8 +101,8 @@
 
     def _handle_arrival(self, ingress: Ingress) -> None:
         self._schedule_request(ingress)
-        self._outcomes.requests += 1
-        request_id = str(self._outcomes.requests)
+        self._outcomes.request_count += 1
+        request_id = str(self._outcomes.request_count)
         self._feed(
             ingress,
             Request(request_id, CLASS_NAME, PLAN_NAME, customer=request_id, remaining_time=DEADLINE_S),
@@ -117,12 +117,12 @@
             case SendAttempt(id=request_id, backend=backend_id):
                 self._send_attempt(ingress, request_id, backend_id)
             case SetTimer(delay=delay, token=token):
-                self._schedule.plan(self._now + delay, partial(self._feed, ingress, TimerFired(token)))
+                self._schedule.add(self._now + delay, partial(self._feed, ingress, TimerFired(token)))
 
     def _send_attempt(self, ingress: Ingress, request_id: str, backend_id: str) -> None:
         attempt_number = ingress.attempt_counts.get(request_id, 0)
         ingress.attempt_counts[request_id] = attempt_number + 1
-        self._outcomes.sent += attempt_number == 0
+        self._outcomes.sent_request_count += attempt_number == 0
         self._record_if_cold(ingress, backend_id)
         if self._now >= self._replacement.starts_at and backend_id in self._replacement.removed_ids:
             outcome = Outcome.CONNECT_FAILED
@@ -131,10 +131,14 @@
             outcome = Outcome.OK
             latency = NETWORK_ROUND_TRIP_S + self._queues.queue_request(backend_id, self._now)
         ended = AttemptEnded(request_id, attempt_number, backend_id, outcome, latency, outcome is Outcome.OK)
-        self._schedule.plan(self._now + latency, partial(self._feed, ingress, ended))
+        self._schedule.add(self._now + latency, partial(self._feed, ingress, ended))
 
     def _record_if_cold(self, ingress: Ingress, backend_id: str) -> None:
         age = self._now - self._replacement.starts_at
         if age >= 0 and backend_id in self._replacement.cold_ids:
-            arrivals = self._outcomes.informed if ingress.is_informed else self._outcomes.uninformed
+            arrivals = (
+                self._outcomes.arrivals_from_informed
+                if ingress.is_informed
+                else self._outcomes.arrivals_from_uninformed
+            )
             arrivals.setdefault(backend_id, []).append(age)
--- a/scale/cold/job.py
+++ b/scale/cold/job.py
@@ -10,7 +10,7 @@
 ColdStartKind: TypeAlias = Literal["replaced", "restarted"]
 
 
-class ColdStarts(BaseModel):
+class ColdStartJob(BaseModel):
     """A fleet in which some backends start cold.
 
     Times are in simulated seconds, rates and capacities in requests per second.
--- a/scale/cold/settings.py
+++ b/scale/cold/settings.py
@@ -3,7 +3,7 @@
 from __future__ import annotations
 
 from ingress.interface import Plan, RequestClass, Settings
-from scale.cold.job import ColdStarts
+from scale.cold.job import ColdStartJob
 
 LATENCY_OBJECTIVE_S = 1.0
 DEADLINE_S = 4.0
@@ -11,7 +11,7 @@
 PLAN_NAME = "open"
 
 
-def build_settings(job: ColdStarts, number: int) -> Settings:
+def build_settings(job: ColdStartJob, number: int) -> Settings:
     """Return the settings of one ingress, without quotas: only the slow start limits the load."""
     return Settings(
         classes=(RequestClass(CLASS_NAME, LATENCY_OBJECTIVE_S, DEADLINE_S),),
--- a/scale/cold/table.py
+++ b/scale/cold/table.py
@@ -4,7 +4,7 @@
 
 from scale.results import Point
 
-HEAD = (
+COLUMN_TITLES = (
     "ingresses",
     "backends",
     "load",
@@ -20,7 +20,7 @@
 )
 
 
-def row(point: Point) -> list[str]:
+def format_row(point: Point) -> list[str]:
     """Return the cells of the row of a point, one for each column."""
     sizes = point.sizes
     measures = point.measures
--- a/scale/cold/windows.py
+++ b/scale/cold/windows.py
@@ -7,11 +7,11 @@
 from dataclasses import dataclass
 from math import sqrt
 
-from scale.cold.job import ColdStarts
+from scale.cold.job import ColdStartJob
 
 
 @dataclass(frozen=True, slots=True)
-class Usage:
+class WindowUsage:
     """How much of their budget the windows of all cold backends used.
 
     A window begins with each request to a cold backend; those that end after it is warm are left out.
@@ -38,12 +38,12 @@
     return budget + 2 * sqrt(budget) + 2
 
 
-def calculate_window_budget(job: ColdStarts, age: float) -> float:
+def calculate_window_budget(job: ColdStartJob, age: float) -> float:
     """Return the requests that do not overload a backend in the window that begins at its age (s)."""
     return job.fall_factor * job.capacity * job.calculate_capacity_share(age) * job.fall_s
 
 
-def usage(job: ColdStarts, arrivals: Sequence[Sequence[float]]) -> Usage:
+def measure_window_usage(job: ColdStartJob, arrivals: Sequence[Sequence[float]]) -> WindowUsage:
     """Return the usage of all windows.
 
     `arrivals` holds, for each cold backend, its ages (s, ascending) at which requests came.
@@ -60,4 +60,4 @@
             beyond_budget += request_count > budget
             beyond_chance += request_count > calculate_chance_limit(budget)
     mean = sum(ratios) / len(ratios) if ratios else 0.0
-    return Usage(len(ratios), max(ratios, default=0.0), mean, beyond_budget, beyond_chance)
+    return WindowUsage(len(ratios), max(ratios, default=0.0), mean, beyond_budget, beyond_chance)
--- a/scale/commands/cold.py
+++ b/scale/commands/cold.py
@@ -12,14 +12,14 @@
 from rich.table import Table
 
 from scale.cold.fleet import Fleet
-from scale.cold.job import ColdStartKind, ColdStarts
-from scale.cold.table import HEAD, row
-from scale.cold.windows import Usage, usage
-from scale.environment import Observer, commit_of
+from scale.cold.job import ColdStartJob, ColdStartKind
+from scale.cold.table import COLUMN_TITLES, format_row
+from scale.cold.windows import WindowUsage, measure_window_usage
+from scale.environment import MachineObserver, read_commit
 from scale.project import TOOL_ROOT
-from scale.results import Point, Result, now, save
+from scale.results import Point, Result, now, save_result
 
-FOLDER = TOOL_ROOT / "scale" / "results"
+RESULTS_FOLDER = TOOL_ROOT / "scale" / "results"
 LATE_NOTICE_S = 4.0  # delay until the last ingress has the new list, where lists are late
 FLEETS = ((3, 12), (30, 30), (300, 150))  # numbers of ingresses and backends
 LOADS = (0.6, 1.2)  # load relative to the capacity of all warm backends
@@ -27,10 +27,10 @@
 log = structlog.get_logger(__name__)
 
 
-def make_jobs(seed: int) -> list[ColdStarts]:
+def make_jobs(seed: int) -> list[ColdStartJob]:
     """Return all jobs: loads below and above the capacity, both kinds of start, lists in time and late."""
     return [
-        ColdStarts(
+        ColdStartJob(
             ingresses=ingresses,
             backends=backends,
             load=load,
@@ -45,31 +45,37 @@
     ]
 
 
-def play(job: ColdStarts) -> Point:
+def measure_job(job: ColdStartJob) -> Point:
     """Run one job; count requests from ingresses that knew of the start separately as well."""
-    outcomes = Fleet(job).play()
-    backend_ids = sorted(outcomes.informed.keys() | outcomes.uninformed.keys())
+    outcomes = Fleet(job).simulate()
+    backend_ids = sorted(outcomes.arrivals_from_informed.keys() | outcomes.arrivals_from_uninformed.keys())
     all_arrivals = [
-        sorted(outcomes.informed.get(backend_id, []) + outcomes.uninformed.get(backend_id, []))
+        sorted(
+            outcomes.arrivals_from_informed.get(backend_id, [])
+            + outcomes.arrivals_from_uninformed.get(backend_id, [])
+        )
         for backend_id in backend_ids
     ]
-    measures = {"requests": float(outcomes.requests), "sent_share": outcomes.sent / max(1, outcomes.requests)}
+    measures = {
+        "requests": float(outcomes.request_count),
+        "sent_share": outcomes.sent_request_count / max(1, outcomes.request_count),
+    }
     # In results, "told" stands for the requests from ingresses that knew of the start.
-    measures |= _measures("told", usage(job, list(outcomes.informed.values())))
-    measures |= _measures("all", usage(job, all_arrivals))
+    measures |= _measures("told", measure_window_usage(job, list(outcomes.arrivals_from_informed.values())))
+    measures |= _measures("all", measure_window_usage(job, all_arrivals))
     sizes = {name: float(value) for name, value in job.model_dump().items() if isinstance(value, int | float)}
     return Point(sizes=sizes | {"restarted": float(job.start_kind == "restarted")}, measures=measures)
 
 
-def _measures(prefix: str, window_usage: Usage) -> dict[str, float]:
+def _measures(prefix: str, window_usage: WindowUsage) -> dict[str, float]:
     return {f"{prefix}_{name}": float(value) for name, value in asdict(window_usage).items()}
 
 
 def cold_table(result: Result) -> Table:
     """Return a table with one row for each point of a result."""
-    table = Table(*HEAD)
+    table = Table(*COLUMN_TITLES)
     for point in result.points:
-        table.add_row(*row(point))
+        table.add_row(*format_row(point))
     return table
 
 
@@ -78,17 +84,17 @@
 @click.option(
     "--out",
     type=click.Path(file_okay=False, path_type=Path),
-    default=FOLDER,
+    default=RESULTS_FOLDER,
     help="The folder for the result.",
 )
 @click.option("--note", default="", help="What else ran on the machine meanwhile.")
 def command(seed: int, out: Path, note: str) -> None:
     """Count the requests that cold backends get with 3, 30 and 300 ingresses, lists in time and late."""
-    commit, dirty = commit_of(TOOL_ROOT)
+    commit, dirty = read_commit(TOOL_ROOT)
     taken_at = now()
     started_at = time.monotonic()
-    with Observer(note) as observer:
-        points = [play(job) for job in make_jobs(seed)]
+    with MachineObserver(note) as observer:
+        points = [measure_job(job) for job in make_jobs(seed)]
     result = Result(
         kind="cold",
         name="starts",
@@ -99,5 +105,5 @@
         environment=observer.result(),
         points=points,
     )
-    log.info("cold starts measured", file=save(result, out).name)
+    log.info("cold starts measured", file=save_result(result, out).name)
     Console(width=150).print(cold_table(result))
--- a/scale/commands/report.py
+++ b/scale/commands/report.py
@@ -10,7 +10,7 @@
 from rich.table import Table
 
 from scale.report.evidence import Evidence
-from scale.report.measures import describe
+from scale.report.measures import describe_measure
 from scale.report.page import read_selected_runs, render_page
 from scale.report.plots import plot_all
 from scale.report.run_tables import VERSIONS
@@ -20,30 +20,32 @@
 ROOT = Path(__file__).resolve().parents[2]
 PAGE_PATH = Path("docs/CAPACITY.md")
 FOLDER_TYPE = click.Path(path_type=Path, file_okay=False)
-OUT_OF_DATE = 1  # exit code of a check that finds the page out of date
+EXIT_OUT_OF_DATE = 1  # exit code of a check that finds the page out of date
 
 
 def _make_tables(evidence: Evidence) -> list[Table]:
     """Return a table for each sweep that has a target, with every measure that has enough points."""
     return [
         _make_table(evidence, sweep)
-        for sweep in evidence.selected.sweeps.values()
-        if evidence.target(sweep.name)
+        for sweep in evidence.selected_runs.sweeps.values()
+        if evidence.target_of(sweep.name)
     ]
 
 
 def _make_table(evidence: Evidence, sweep: Sweep) -> Table:
-    table = Table(title=f"{sweep.name}, target {evidence.target(sweep.name):,.0f}", title_justify="left")
+    table = Table(title=f"{sweep.name}, target {evidence.target_of(sweep.name):,.0f}", title_justify="left")
     for column in ("measure", "version", "commit", "growth", "at the target"):
         table.add_column(column)
-    for measure in sweep.after.measures():
+    for measure in sweep.after.list_measure_names():
         for version in VERSIONS:
-            run = evidence.run(sweep.name, version)
+            run = evidence.find_run(sweep.name, version)
             if run is None:
                 continue
-            description, growth = describe(measure), describe_growth(run.growth(measure))
-            figure = evidence.at_target(sweep.name, measure, version)
-            table.add_row(description.text, version, run.version, growth, figure.text(description.unit))
+            description, growth = describe_measure(measure), describe_growth(run.fit_growth(measure))
+            figure = evidence.estimate_at_target(sweep.name, measure, version)
+            table.add_row(
+                description.label, version, run.commit_label, growth, figure.format(description.unit)
+            )
     return table
 
 
@@ -53,7 +55,7 @@
         click.echo(f"{page.name} is up to date")
         return
     click.echo(f"{page.name} differs from what the saved results give: run python -m scale report", err=True)
-    sys.exit(OUT_OF_DATE)
+    sys.exit(EXIT_OUT_OF_DATE)
 
 
 @click.command(name="report")
--- a/scale/commands/run.py
+++ b/scale/commands/run.py
@@ -13,7 +13,7 @@
 from scale.experiment.runner import RunOptions, run_scenario
 from scale.project import check_project
 from scale.real import read_run_command
-from scale.results import Result, save
+from scale.results import Result, save_result
 from scale.scenario import Scenario, load_scenario
 
 VIOLATION_MEASURES = ("lost", "duplicated", "wrong", "real_died")
@@ -73,7 +73,7 @@
         + START_ALLOWANCE_PER_INGRESS_S * scenario.sizes.ingresses
     )
     result = _run_with_progress_bar(scenario, project, start_command, note, timeout_s)
-    click.echo(f"saved {save(result, results).name}")
+    click.echo(f"saved {save_result(result, results).name}")
     measures = result.points[0].measures
     for name in sorted(measures):
         click.echo(f"{name} {measures[name]:g}")
--- a/scale/commands/slopes.py
+++ b/scale/commands/slopes.py
@@ -10,11 +10,11 @@
 from rich.progress import BarColumn, MofNCompleteColumn, Progress, TextColumn, TimeElapsedColumn
 
 from scale.project import TOOL_ROOT
-from scale.results import Result, save
+from scale.results import Result, save_result
 from scale.slopes.job import CounterModel
-from scale.slopes.runner import Runner
-from scale.slopes.sweeps import SWEEPS, Sweep, quick
-from scale.slopes.tables import ACCEPTANCE, ratio_table, sweep_table
+from scale.slopes.runner import SweepRunner
+from scale.slopes.sweeps import SWEEPS, Sweep, shorten_sweep
+from scale.slopes.tables import ACCEPTANCE_SWEEP, build_ratio_table, build_sweep_table
 
 TABLE_WIDTH = 120
 FOLDER = TOOL_ROOT / "scale" / "results"
@@ -69,18 +69,18 @@
     """Sweep backends, ingresses, tenants, services and changes a second, one at a time."""
     sweeps = [SWEEPS[name] for name in dimensions or SWEEPS]
     if quickly:
-        sweeps = [quick(sweep) for sweep in sweeps]
+        sweeps = [shorten_sweep(sweep) for sweep in sweeps]
     counter = CounterModel(calls_per_request=counter_capacity)
-    runner = Runner(project, points_budget, counter, note)
+    runner = SweepRunner(project, points_budget, counter, note)
     results = _run_sweeps(runner, sweeps, out)
     console = Console(width=max(TABLE_WIDTH, Console().width))
     for result in results:
-        console.print(sweep_table(result))
-        if result.name == ACCEPTANCE:
-            console.print(ratio_table(result))
+        console.print(build_sweep_table(result))
+        if result.name == ACCEPTANCE_SWEEP:
+            console.print(build_ratio_table(result))
 
 
-def _run_sweeps(runner: Runner, sweeps: list[Sweep], out: Path) -> list[Result]:
+def _run_sweeps(runner: SweepRunner, sweeps: list[Sweep], out: Path) -> list[Result]:
     """Run the sweeps one after another, and save each result as soon as its sweep is done."""
     results: list[Result] = []
     columns = (TextColumn("{task.description}"), BarColumn(), MofNCompleteColumn(), TimeElapsedColumn())
@@ -89,7 +89,7 @@
         for sweep in sweeps:
             progress.update(task, description=sweep.name)
             result = runner.run(sweep, lambda: progress.advance(task))
-            path = save(result, out)
+            path = save_result(result, out)
             log.info("sweep measured", sweep=sweep.name, points=len(result.points), file=path.name)
             results.append(result)
     return results
--- a/scale/environment.py
+++ b/scale/environment.py
@@ -37,7 +37,7 @@
     return {process.pid for process in related}
 
 
-class Observer:
+class MachineObserver:
     """A context manager that observes the machine; `environment` is set when its block ends."""
 
     def __init__(self, note: str = "") -> None:
@@ -47,7 +47,7 @@
         self._load_before = 0.0
         self._started_at = 0.0
 
-    def __enter__(self) -> Observer:
+    def __enter__(self) -> MachineObserver:
         self._load_before = os.getloadavg()[0]
         self._cpu_before = _cpu_seconds_by_process()
         self._started_at = time.monotonic()
@@ -96,7 +96,7 @@
     return subprocess.run(command, capture_output=True, text=True, check=True).stdout.strip()
 
 
-def commit_of(project: Path) -> tuple[str, bool]:
+def read_commit(project: Path) -> tuple[str, bool]:
     """Return the checkout's commit, and whether the package in the working tree differs from it.
 
     Where git or its repository is missing, the commit is `unknown` and counts as different.
--- a/scale/experiment/change_delays.py
+++ b/scale/experiment/change_delays.py
@@ -8,7 +8,7 @@
 import numpy as np
 
 from scale.experiment.messages import Incarnation
-from scale.standins.registry import Published
+from scale.standins.registry import PublishedChange
 
 IN_FORCE_LIMIT_S = 4.0  # time within which every ingress is to act on a change
 
@@ -35,7 +35,7 @@
 
 
 def measure_change_delays(
-    published: Iterable[Published], incarnations: Sequence[Incarnation], observed_until: float
+    published: Iterable[PublishedChange], incarnations: Sequence[Incarnation], observed_until: float
 ) -> ChangeDelays:
     """Return the delays of all published changes at all incarnations of the ingresses.
 
@@ -52,25 +52,26 @@
 
 
 def _measure_delays_of(
-    change: Published, incarnations: Sequence[Incarnation], observed_until: float
+    change: PublishedChange, incarnations: Sequence[Incarnation], observed_until: float
 ) -> _SingleChangeDelays:
     result = _SingleChangeDelays()
     for incarnation in incarnations:
         ended_at = observed_until if incarnation.ended is None else incarnation.ended
-        if not incarnation.started <= change.at < ended_at:
+        if not incarnation.started <= change.published_at < ended_at:
             continue
         acted_at = _find_acted_at(incarnation, change)
         if acted_at is not None:
-            result.delays.append(acted_at - change.at)
+            result.delays.append(acted_at - change.published_at)
         elif ended_at >= observed_until:
             result.missing_count += 1
     return result
 
 
-def _find_acted_at(incarnation: Incarnation, change: Published) -> float | None:
+def _find_acted_at(incarnation: Incarnation, change: PublishedChange) -> float | None:
     """Return when an ingress first acted on a change or on a later one, or None if it never did."""
     return next(
-        (at for version, at in incarnation.acted if version >= change.version and at >= change.at), None
+        (at for version, at in incarnation.acted if version >= change.version and at >= change.published_at),
+        None,
     )
 
 
--- a/scale/experiment/clients_process.py
+++ b/scale/experiment/clients_process.py
@@ -18,7 +18,7 @@
 from scale.experiment.pipe import receive_commands, run_child, send_message
 from scale.standins.client_requests import ClientCounts
 from scale.standins.clients import ANSWER_SLACK_S, Client
-from scale.standins.histograms import Times
+from scale.standins.histograms import TimeHistogram
 
 SEED_STEP = 7919  # difference between the seeds of the clients of two ingresses
 
@@ -39,7 +39,7 @@
                 for client in clients.values():
                     client.start()
             case PauseClient():
-                clients[message.ingress].pause(message.paused)
+                clients[message.ingress].set_paused(message.paused)
             case ClientRestarting():
                 clients[message.ingress].is_restarting = message.restarting
             case Finish():
@@ -50,12 +50,12 @@
 
 def _make_report(clients: list[Client]) -> ClientsReport:
     counts = ClientCounts()
-    latency = Times()
-    added = Times()
+    latency = TimeHistogram()
+    added = TimeHistogram()
     for client in clients:
         counts.add(client.measures.counts)
-        latency.add_encoded(client.measures.latency.encode())
-        added.add_encoded(client.measures.added.encode())
+        latency.add_encoded(client.measures.latencies.encode())
+        added.add_encoded(client.measures.added_latencies.encode())
     return ClientsReport(counts=asdict(counts), latency=latency.encode(), added=added.encode())
 
 
--- a/scale/experiment/cold_load.py
+++ b/scale/experiment/cold_load.py
@@ -5,7 +5,7 @@
 from collections.abc import Iterable
 
 from scale.scenario import BackendModel
-from scale.standins.backend_queue import COLD_WINDOW_S, capacity_at
+from scale.standins.backend_queue import COLD_WINDOW_S, calculate_capacity
 
 
 def cold_peak_ratio(model: BackendModel, units_by_start: dict[str, dict[int, float]]) -> float:
@@ -26,7 +26,9 @@
                 (window + 0.5) * COLD_WINDOW_S - started_at
                 for window in range(last_window - window_count + 1, last_window + 1)
             ]
-            unit_budget = model.fall_factor * sum(capacity_at(model, age) for age in ages) * COLD_WINDOW_S
+            unit_budget = (
+                model.fall_factor * sum(calculate_capacity(model, age) for age in ages) * COLD_WINDOW_S
+            )
             max_ratio = max(max_ratio, sent_units / unit_budget)
     return max_ratio
 
--- a/scale/experiment/hollow_process.py
+++ b/scale/experiment/hollow_process.py
@@ -36,7 +36,7 @@
             raise RuntimeError(f"{message.kind} was received before the start message")
         match message:
             case Load():
-                worker.load()
+                worker.start_load()
             case SilentZone():
                 worker.set_zone_silent(message.zone, message.silent)
             case RestartHollow():
--- a/scale/experiment/lag.py
+++ b/scale/experiment/lag.py
@@ -4,7 +4,7 @@
 
 import asyncio
 
-from scale.standins.histograms import Times
+from scale.standins.histograms import TimeHistogram
 
 SAMPLING_PERIOD_S = 0.05  # time between two samples
 
@@ -12,7 +12,7 @@
 class LagSampler:
     """A sampler that records at a fixed period how late the event loop runs a timer's callback."""
 
-    def __init__(self, lag: Times) -> None:
+    def __init__(self, lag: TimeHistogram) -> None:
         self._lag = lag
         self._loop = asyncio.get_running_loop()
         self._timer: asyncio.TimerHandle | None = None
--- a/scale/experiment/launch.py
+++ b/scale/experiment/launch.py
@@ -42,7 +42,7 @@
         agent = Agent(Registry(slot.make_entry() for slot in slots))
         self._stack.callback(agent.close)
         counter = self._make_counter()
-        known_endpoints = agent.registry.body(None).decode()
+        known_endpoints = agent.registry.encode_answer(None).decode()
         counter_address = await counter.listen()
         agent_address = await agent.listen(HOLLOW_GROUP)
         workers = await self._start_workers(agent_address, counter_address, known_endpoints)
--- a/scale/experiment/measures.py
+++ b/scale/experiment/measures.py
@@ -6,12 +6,12 @@
 from collections.abc import Iterable, Sequence
 
 from scale.experiment.messages import HollowReport
-from scale.standins.histograms import Times
+from scale.standins.histograms import TimeHistogram
 
 
-def merge_times(encoded_histograms: Iterable[str]) -> Times:
+def merge_times(encoded_histograms: Iterable[str]) -> TimeHistogram:
     """Merge encoded histograms into one."""
-    times = Times()
+    times = TimeHistogram()
     for text in encoded_histograms:
         times.add_encoded(text)
     return times
@@ -55,18 +55,18 @@
     counter_wait = merge_times(report.counter_wait for report in reports)
     worker_lag = merge_times(report.worker_lag for report in reports)
     measures = {
-        "request_cpu_p50_us": request_cpu.microseconds(50),
-        "request_cpu_p99_us": request_cpu.microseconds(99),
+        "request_cpu_p50_us": request_cpu.get_percentile_us(50),
+        "request_cpu_p99_us": request_cpu.get_percentile_us(99),
         "counter_wait_share": share(counts["waited"], counts["requests"]),
-        "counter_wait_p50_ms": counter_wait.milliseconds(50),
-        "counter_wait_p99_ms": counter_wait.milliseconds(99),
+        "counter_wait_p50_ms": counter_wait.get_percentile_ms(50),
+        "counter_wait_p99_ms": counter_wait.get_percentile_ms(99),
         "counter_unanswered_share": share(counts["counter_unanswered"], counts["counter_calls"]),
         "counter_calls_per_request": share(counts["counter_calls"], counts["requests"]),
         "watch_cancels_repeated": float(counts["cancellations_lost"]),
-        "worker_lag_p50_ms": worker_lag.milliseconds(50),
-        "worker_lag_p99_ms": worker_lag.milliseconds(99),
+        "worker_lag_p50_ms": worker_lag.get_percentile_ms(50),
+        "worker_lag_p99_ms": worker_lag.get_percentile_ms(99),
     }
     if change_cpu.count:
-        measures["change_cpu_us"] = change_cpu.microseconds(50)
-        measures["change_cpu_p99_us"] = change_cpu.microseconds(99)
+        measures["change_cpu_us"] = change_cpu.get_percentile_us(50)
+        measures["change_cpu_p99_us"] = change_cpu.get_percentile_us(99)
     return measures
--- a/scale/experiment/memory_probe.py
+++ b/scale/experiment/memory_probe.py
@@ -21,12 +21,12 @@
     from ingress.decisions import Gateway
     from ingress.settings_codec import decode_settings
     from scale.experiment.settings import ingress_settings, zone_name
-    from scale.experiment.worker import read_known
+    from scale.experiment.worker import decode_known_endpoints
 
     scenario = load_scenario(scenario_path)
     zones = scenario.sizes.zones
     entries = [Entry(f"b{n}", ("127.0.0.1", 1), zone_name(n % zones)) for n in range(scenario.sizes.backends)]
-    known_endpoints = read_known(Registry(entries).body(None).decode())
+    known_endpoints = decode_known_endpoints(Registry(entries).encode_answer(None).decode())
     settings = decode_settings(ingress_settings(scenario, 0))
     process = psutil.Process()
     gateways = [Gateway(settings, 0)]
--- a/scale/experiment/runner.py
+++ b/scale/experiment/runner.py
@@ -13,7 +13,7 @@
 
 import structlog
 
-from scale.environment import Observer, commit_of
+from scale.environment import MachineObserver, read_commit
 from scale.errors import ScaleError
 from scale.experiment.launch import Launcher
 from scale.experiment.messages import Load
@@ -54,11 +54,11 @@
 
     async def run(self) -> Result:
         """Run the scenario and return its result; stop all started parts, also after a failure."""
-        commit, dirty = commit_of(self._options.project)
+        commit, dirty = read_commit(self._options.project)
         taken_at = now()
         started_at = time.monotonic()
         async with AsyncExitStack() as stack:
-            with Observer(self._options.note) as observer:
+            with MachineObserver(self._options.note) as observer:
                 record = await self._run_phases(stack)
                 measures = run_measures(record)
         rounded_measures = {key: round(value, MEASURE_DIGITS) for key, value in measures.items()}
@@ -124,7 +124,7 @@
         give_up_at = time.monotonic() + SETTLE_TIMEOUT_S
         while time.monotonic() < give_up_at:
             running_count = sum(ingress.is_running for ingress in parts.real_ingresses.values())
-            if parts.agent.current_watches() >= self._scenario.sizes.hollow + running_count:
+            if parts.agent.count_up_to_date_watches() >= self._scenario.sizes.hollow + running_count:
                 return
             await asyncio.sleep(PROGRESS_PERIOD_S)
 
--- a/scale/experiment/settings.py
+++ b/scale/experiment/settings.py
@@ -5,7 +5,7 @@
 from typing import Any
 
 from scale.scenario import BackendModel, ClassModel, CounterModel, PlanModel, Scenario
-from scale.standins.traffic import MAX_UNITS
+from scale.standins.traffic import MAX_REQUEST_UNITS
 
 TICK_S = 0.002  # resolution of an ingress's times
 REAL_INGRESS_MEMORY_MB = 192  # memory limit of a real ingress
@@ -79,7 +79,7 @@
         "mail-per-s": 0.0,
         "meter-s": 0.0,
         "cost-after": False,
-        "most-units": MAX_UNITS,
+        "most-units": MAX_REQUEST_UNITS,
     }
 
 
--- a/scale/experiment/summary.py
+++ b/scale/experiment/summary.py
@@ -61,10 +61,10 @@
     cpu_s = load.end.real_cpu_s - load.start.real_cpu_s - idle_cores * load.duration_s
     return {
         "real_request_cpu_us": max(0.0, share(cpu_s * 1e6, measures.get("real_requests", 0.0))),
-        "added_latency_p50_ms": added.milliseconds(50),
-        "added_latency_p99_ms": added.milliseconds(99),
-        "client_latency_p50_ms": latency.milliseconds(50),
-        "client_latency_p99_ms": latency.milliseconds(99),
+        "added_latency_p50_ms": added.get_percentile_ms(50),
+        "added_latency_p99_ms": added.get_percentile_ms(99),
+        "client_latency_p50_ms": latency.get_percentile_ms(50),
+        "client_latency_p99_ms": latency.get_percentile_ms(99),
     }
 
 
@@ -73,14 +73,16 @@
     hollow_incarnations = [each for report in record.reports.hollow for each in report.incarnations]
     real_incarnations = [_real_incarnation(each, agent) for each in record.timeline.real_incarnations]
     measures = change_measures(
-        measure_change_delays(agent.published, hollow_incarnations + real_incarnations, record.observed_until)
+        measure_change_delays(
+            agent.published_changes, hollow_incarnations + real_incarnations, record.observed_until
+        )
     )
     if real_incarnations:
         # Report real ingresses separately: hollow ones share a process and delay each other in it.
         measures |= change_measures(
-            measure_change_delays(agent.published, real_incarnations, record.observed_until), "real_"
+            measure_change_delays(agent.published_changes, real_incarnations, record.observed_until), "real_"
         )
-    measures["changes"] = float(len(agent.published))
+    measures["changes"] = float(len(agent.published_changes))
     return measures
 
 
@@ -89,7 +91,7 @@
     ended_at = real.ended_at if real.ended_at is not None else float("inf")
     acted = [
         (version, at)
-        for version, at in agent.acted[real_group_name(real.ingress_number)]
+        for version, at in agent.acted_versions[real_group_name(real.ingress_number)]
         if real.started_at <= at <= ended_at
     ]
     return Incarnation(number=real.ingress_number, started=real.started_at, ended=real.ended_at, acted=acted)
--- a/scale/experiment/worker.py
+++ b/scale/experiment/worker.py
@@ -12,7 +12,7 @@
 from scale.experiment.lag import LagSampler
 from scale.experiment.messages import HollowReport, Incarnation, StartHollow
 from scale.experiment.settings import ingress_settings
-from scale.experiment.world import World
+from scale.experiment.world import WorkerState
 from scale.hollow.ingress import HollowIngress
 from scale.hollow.setup import HollowSetup
 
@@ -25,9 +25,9 @@
     def __init__(self, start: StartHollow) -> None:
         self.start_message = start
         self.scenario = start.scenario
-        self.world = World(start.scenario)
-        self.known_endpoints = read_known(start.known)
-        self.world.learn(self.known_endpoints.backends)
+        self.state = WorkerState(start.scenario)
+        self.known_endpoints = decode_known_endpoints(start.known)
+        self.state.apply_backends(self.known_endpoints.backends)
         self.settings_by_ingress = {
             n: decode_settings(ingress_settings(start.scenario, n)) for n in start.numbers
         }
@@ -35,7 +35,7 @@
         self.ended_incarnations: list[Incarnation] = []
         self.ingresses: dict[int, HollowIngress] = {}
         self.is_under_load = False
-        self.lag_sampler = LagSampler(self.world.worker_lag)
+        self.lag_sampler = LagSampler(self.state.worker_lag)
 
     async def start(self) -> None:
         """Create all ingresses, and let the event loop run between two of them."""
@@ -45,7 +45,7 @@
 
     def _create_ingress(self, number: int) -> None:
         setup = HollowSetup(
-            self.world,
+            self.state,
             number,
             self.incarnation_counts[number],
             self.start_message.agent,
@@ -58,21 +58,21 @@
         self.ingresses[number] = ingress
         ingress.start()
         if self.is_under_load:
-            ingress.load()
+            ingress.start_load()
 
-    def load(self) -> None:
+    def start_load(self) -> None:
         """Begin the load and the sampling of the event loop's lag."""
         self.is_under_load = True
         for ingress in self.ingresses.values():
-            ingress.load()
+            ingress.start_load()
         self.lag_sampler.start()
 
     def set_zone_silent(self, zone: str, silent: bool) -> None:
         """Make the backends of a zone stop answering, or answer again."""
         if silent:
-            self.world.silent_zones.add(zone)
+            self.state.silent_zones.add(zone)
         else:
-            self.world.silent_zones.discard(zone)
+            self.state.silent_zones.discard(zone)
 
     async def restart(self, numbers: list[int]) -> None:
         """Restart some ingresses with the initial endpoint list of the fleet."""
@@ -88,7 +88,7 @@
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(longest_deadline_s + DRAIN_SLACK_S):
                 for ingress in self.ingresses.values():
-                    await ingress.requests.drained()
+                    await ingress.requests.wait_until_drained()
 
     async def finish(self) -> HollowReport:
         """Wait for the answers to open requests, stop all ingresses and return the report."""
@@ -97,10 +97,10 @@
         await self._wait_for_open_requests()
         self.lag_sampler.stop()
         for ingress in self.ingresses.values():
-            ingress.requests.close("lost")
+            ingress.requests.close_all("lost")
             self.ended_incarnations.append(ingress.incarnation)
         await asyncio.gather(*(ingress.stop() for ingress in self.ingresses.values()))
-        world = self.world
+        world = self.state
         return HollowReport(
             counts=dict(world.counts),
             incarnations=self.ended_incarnations,
@@ -112,7 +112,7 @@
         )
 
 
-def read_known(body: str) -> api.EndpointUpdate:
+def decode_known_endpoints(body: str) -> api.EndpointUpdate:
     """Decode a whole list in the discovery agent's format into the initial endpoint list of an ingress."""
     source = json.loads(body)
     backends = tuple(
--- a/scale/experiment/world.py
+++ b/scale/experiment/world.py
@@ -7,12 +7,12 @@
 
 import ingress.interface as api
 from scale.scenario import Scenario
-from scale.standins.backend_queue import window_of
-from scale.standins.histograms import Times
+from scale.standins.backend_queue import get_window_number
+from scale.standins.histograms import TimeHistogram
 
 
 @dataclass(slots=True)
-class World:
+class WorkerState:
     """The state of one worker: its backends, and the counts and times of all its hollow ingresses."""
 
     scenario: Scenario
@@ -22,12 +22,16 @@
     silent_zones: set[str] = field(default_factory=set)  # zones whose backends do not answer
     counts: Tally[str] = field(default_factory=Tally)  # of requests by outcome, counter calls, violations
     cold_units: dict[str, dict[int, float]] = field(default_factory=dict)  # by ID@UNIX_TIME, then by window
-    request_cpu: Times = field(default_factory=Times)  # CPU time in the module for a request
-    change_cpu: Times = field(default_factory=Times)  # CPU time in the module for a list change
-    counter_wait: Times = field(default_factory=Times)  # of the requests that waited for the counter
-    worker_lag: Times = field(default_factory=Times)  # lag of the process's event loop
-
-    def learn(self, backends: tuple[api.Backend, ...]) -> None:
+    request_cpu: TimeHistogram = field(default_factory=TimeHistogram)  # CPU time in the module for a request
+    change_cpu: TimeHistogram = field(
+        default_factory=TimeHistogram
+    )  # CPU time in the module for a list change
+    counter_wait: TimeHistogram = field(
+        default_factory=TimeHistogram
+    )  # of the requests that waited for the counter
+    worker_lag: TimeHistogram = field(default_factory=TimeHistogram)  # lag of the process's event loop
+
+    def apply_backends(self, backends: tuple[api.Backend, ...]) -> None:
         """Apply entries of the endpoint list."""
         for backend in backends:
             self.zone_by_backend[backend.id] = backend.zone
@@ -37,18 +41,18 @@
             else:
                 self.removed_backends.discard(backend.id)
 
-    def note_send(self, backend: str, units: float, now: float) -> None:
+    def count_cold_units(self, backend: str, units: float, now: float) -> None:
         """Count the units sent to a backend if it is cold."""
         started_at = self.started_at_by_backend.get(backend, 0.0)
         if started_at and now < started_at + self.scenario.backend.cold_s:
             windows = self.cold_units.setdefault(f"{backend}@{started_at:.3f}", {})
-            window = window_of(now)
+            window = get_window_number(now)
             windows[window] = windows.get(window, 0.0) + units
 
-    def unreachable(self, backend: str) -> bool:
+    def is_unreachable(self, backend: str) -> bool:
         """Return whether a connection to the backend is refused."""
         return backend in self.removed_backends or backend not in self.zone_by_backend
 
-    def silent(self, backend: str) -> bool:
+    def is_silent(self, backend: str) -> bool:
         """Return whether the backend does not answer."""
         return self.zone_by_backend.get(backend, "") in self.silent_zones
--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -10,7 +10,7 @@
 
 import ingress.interface as api
 from ingress.network.clock import Clock
-from scale.experiment.world import World
+from scale.experiment.world import WorkerState
 from scale.hollow.requests import Attempt, OpenRequest, RequestTable
 
 
@@ -19,7 +19,7 @@
 
     def __init__(
         self,
-        world: World,
+        world: WorkerState,
         requests: RequestTable,
         max_attempts: int,
         rng: random.Random,
@@ -71,13 +71,13 @@
 
     def _start_timer(self, request_id: str, request: OpenRequest, attempt: Attempt) -> None:
         """Draw the latency of an attempt, and start the timer that ends it."""
-        if self._world.unreachable(attempt.backend):
+        if self._world.is_unreachable(attempt.backend):
             self._end_after(0.0, request_id, attempt, api.Outcome.CONNECT_FAILED)
             return
-        self._world.note_send(attempt.backend, request.units, self._clock())
+        self._world.count_cold_units(attempt.backend, request.units, self._clock())
         model = self._world.scenario.backend
         latency = self._rng.lognormvariate(math.log(model.latency_ms / 1000), model.latency_sigma)
-        if self._world.silent(attempt.backend) or latency > attempt.timeout:
+        if self._world.is_silent(attempt.backend) or latency > attempt.timeout:
             self._end_after(attempt.timeout, request_id, attempt, api.Outcome.TIMEOUT)
         else:
             attempt.timer = self._loop.call_later(latency, self._answer, request_id, attempt)
@@ -87,7 +87,7 @@
 
     def _answer(self, request_id: str, attempt: Attempt) -> None:
         """End an attempt when its answer is due; it times out if its backend has become silent meanwhile."""
-        if self._world.silent(attempt.backend):
+        if self._world.is_silent(attempt.backend):
             remaining_s = attempt.sent_at + attempt.timeout - time.monotonic()
             self._end_after(max(0.0, remaining_s), request_id, attempt, api.Outcome.TIMEOUT)
         else:
--- a/scale/hollow/control.py
+++ b/scale/hollow/control.py
@@ -31,7 +31,7 @@
         feed: Callable[[api.Event], None],
     ) -> None:
         self._setup = setup
-        self._world = setup.world
+        self._world = setup.worker_state
         self._incarnation = incarnation
         self._rng = rng
         self._feed = feed
@@ -78,6 +78,6 @@
 
     def _apply_update(self, kind: api.EndpointUpdateKind, update: EndpointList) -> None:
         """Feed an update of the endpoint list, then record that it was acted on."""
-        self._world.learn(update.backends)
+        self._world.apply_backends(update.backends)
         self._feed(api.EndpointUpdate(kind, tuple(update.backends), update.version))
         self._incarnation.acted.append((update.version, time.monotonic()))
--- a/scale/hollow/ingress.py
+++ b/scale/hollow/ingress.py
@@ -34,20 +34,20 @@
     def __init__(self, setup: HollowSetup) -> None:
         clock = unix_clock()
         rng = random.Random(setup.seed)
-        scenario = setup.world.scenario
+        scenario = setup.worker_state.scenario
         self.incarnation = Incarnation(number=setup.number, started=time.monotonic())
-        self.requests = RequestTable(setup.world)
+        self.requests = RequestTable(setup.worker_state)
         self._known_list = setup.known_list
         self._loop = asyncio.get_running_loop()
         self._arrivals = Arrivals(
             scenario, setup.number, scenario.sizes.requests_per_s, rng, self._accept_request
         )
         gateway = Gateway(setup.settings, rng.getrandbits(63))
-        self._module = MeteredModule(gateway, clock, setup.world, self.requests, self._execute)
+        self._module = MeteredModule(gateway, clock, setup.worker_state, self.requests, self._execute)
         feed = self._module.feed
         self._control = ControlTraffic(setup, self.incarnation, clock, rng, feed)
         self._attempts = SimulatedAttempts(
-            setup.world, self.requests, setup.settings.max_attempts, rng, clock, feed
+            setup.worker_state, self.requests, setup.settings.max_attempts, rng, clock, feed
         )
 
     def start(self) -> None:
@@ -55,7 +55,7 @@
         self._module.feed(self._known_list)
         self._control.start_watch()
 
-    def load(self) -> None:
+    def start_load(self) -> None:
         """Let requests arrive from now on."""
         self._arrivals.start()
 
@@ -68,7 +68,7 @@
         self._module.stop()
         self.incarnation.ended = time.monotonic()
         self.stop_load()
-        self.requests.close("cut")
+        self.requests.close_all("cut")
         await self._control.stop()
 
     def _accept_request(self, drawn_request: DrawnRequest) -> None:
--- a/scale/hollow/module.py
+++ b/scale/hollow/module.py
@@ -9,7 +9,7 @@
 from ingress.decisions import Gateway
 from ingress.event_queue import EventQueue
 from ingress.network.clock import Clock
-from scale.experiment.world import World
+from scale.experiment.world import WorkerState
 from scale.hollow.requests import RequestTable
 
 
@@ -20,7 +20,7 @@
         self,
         gateway: Gateway,
         clock: Clock,
-        world: World,
+        world: WorkerState,
         requests: RequestTable,
         execute: Callable[[api.Action], None],
     ) -> None:
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -6,7 +6,7 @@
 import time
 from dataclasses import dataclass
 
-from scale.experiment.world import World
+from scale.experiment.world import WorkerState
 
 
 @dataclass(slots=True)
@@ -50,7 +50,7 @@
 class RequestTable:
     """The open requests and the recently answered ones, for which second final answers are detected."""
 
-    def __init__(self, world: World) -> None:
+    def __init__(self, world: WorkerState) -> None:
         self.arriving_request: OpenRequest | None = None  # its arrival is being handled by the module
         self._world = world
         self._request_count = 0  # all requests so far
@@ -104,7 +104,7 @@
         """Stop detecting second final answers to a request."""
         self._answered_ids.discard(request_id)
 
-    def close(self, outcome: str) -> None:
+    def close_all(self, outcome: str) -> None:
         """End all open requests without an answer, and count them under an outcome."""
         self._world.counts[outcome] += len(self._open_requests)
         for request in self._open_requests.values():
@@ -113,7 +113,7 @@
         self._open_requests.clear()
         self._signal_if_drained()
 
-    async def drained(self) -> None:
+    async def wait_until_drained(self) -> None:
         """Wait until no request is open."""
         await self._drained.wait()
 
--- a/scale/hollow/setup.py
+++ b/scale/hollow/setup.py
@@ -6,7 +6,7 @@
 
 import ingress.interface as api
 from scale.addresses import Address
-from scale.experiment.world import World
+from scale.experiment.world import WorkerState
 
 SEED_STEP = 104_729  # difference between the seeds of two ingresses with consecutive numbers
 INCARNATION_SEED_STEP = (
@@ -18,7 +18,7 @@
 class HollowSetup:
     """The parameters of one incarnation of a hollow ingress."""
 
-    world: World
+    worker_state: WorkerState
     """What all hollow ingresses of the process share."""
     number: int
     """The number of the ingress."""
@@ -34,5 +34,5 @@
     @property
     def seed(self) -> int:
         """The seed of all random draws of the incarnation."""
-        seed = self.world.scenario.seed
+        seed = self.worker_state.scenario.seed
         return seed + SEED_STEP * self.number + INCARNATION_SEED_STEP * self.earlier_incarnations
--- a/scale/report/evidence.py
+++ b/scale/report/evidence.py
@@ -32,27 +32,27 @@
     """Look-ups and estimates of figures in the selected results."""
 
     def __init__(self, selected: SelectedRuns, targets: Mapping[str, float] = DIMENSION_TARGETS) -> None:
-        self.selected = selected
+        self.selected_runs = selected
         self.targets = targets
 
-    def target(self, sweep: str) -> float:
+    def target_of(self, sweep: str) -> float:
         """Return the target of the dimension that a sweep varies; 0 if it has no target."""
         return self.targets.get(dimension_of(sweep), 0.0)
 
-    def run(self, sweep: str, version: Version = "after") -> SavedResult | None:
+    def find_run(self, sweep: str, version: Version = "after") -> SavedResult | None:
         """Return the run of a sweep on the older or the newer commit; None if there is none."""
-        runs = self.selected.sweeps.get(sweep)
+        runs = self.selected_runs.sweeps.get(sweep)
         return None if runs is None else runs.runs_by_version().get(version)
 
     def fit_growth(self, sweep: str, measure: str, version: Version = "after") -> Growth | None:
         """Return the fits of a measure over a sweep; None if it was not measured at enough sizes."""
-        run = self.run(sweep, version)
-        return None if run is None else run.growth(measure)
+        run = self.find_run(sweep, version)
+        return None if run is None else run.fit_growth(measure)
 
-    def at_target(self, sweep: str, measure: str, version: Version = "after") -> Figure:
+    def estimate_at_target(self, sweep: str, measure: str, version: Version = "after") -> Figure:
         """Estimate a measure with one dimension at its target and the others as they are in the sweep."""
-        run, growth = self.run(sweep, version), self.fit_growth(sweep, measure, version)
-        target = self.target(sweep)
+        run, growth = self.find_run(sweep, version), self.fit_growth(sweep, measure, version)
+        target = self.target_of(sweep)
         if run is None or growth is None or target <= 0:
             return MISSING
         return _figure_of(growth.estimate(target), (run.file_name,))
@@ -65,13 +65,13 @@
         """
         candidates = []
         for sweep in sweeps:
-            run, growth = self.run(sweep, version), self.fit_growth(sweep, measure, version)
+            run, growth = self.find_run(sweep, version), self.fit_growth(sweep, measure, version)
             if run is None or growth is None:
                 continue
             measured = self._measured_at_targets(run, measure, sweeps)
             if measured is not None:
                 return measured
-            figure = self.at_target(sweep, measure, version)
+            figure = self.estimate_at_target(sweep, measure, version)
             candidates.append((figure, max(0.0, figure.high - growth.costs[0])))
         if not candidates:
             return MISSING
@@ -84,7 +84,7 @@
         """Return the measure at a point that reaches the targets of all sweeps; None if no point does."""
         for point in run.result.points:
             has_all_targets = all(
-                point.sizes.get(dimension_of(sweep), 0.0) >= self.target(sweep) * MIN_TARGET_SHARE
+                point.sizes.get(dimension_of(sweep), 0.0) >= self.target_of(sweep) * MIN_TARGET_SHARE
                 for sweep in sweeps
             )
             if has_all_targets and measure in point.measures:
@@ -96,7 +96,7 @@
         self, sweep: str, measure: str, limit: float, version: Version = "after"
     ) -> Figure | None:
         """Estimate the size at which a measure exceeds a limit; None if the fits never exceed it."""
-        run, growth = self.run(sweep, version), self.fit_growth(sweep, measure, version)
+        run, growth = self.find_run(sweep, version), self.fit_growth(sweep, measure, version)
         if run is None or growth is None:
             return MISSING
         estimate = growth.size_for(limit)
@@ -104,7 +104,7 @@
 
     def scenario_figure(self, measure: str) -> Figure:
         """Return a measure at the last point of the scenario with the largest fleet that recorded it."""
-        runs = sorted(self.selected.scenarios.values(), key=_scenario_sort_key)
+        runs = sorted(self.selected_runs.scenarios.values(), key=_scenario_sort_key)
         for saved in reversed(runs):
             values = [point.measures[measure] for point in saved.result.points if measure in point.measures]
             if values:
--- a/scale/report/figures.py
+++ b/scale/report/figures.py
@@ -69,7 +69,7 @@
         value, low, high = convert(self.value), convert(self.low), convert(self.high)
         return Figure(self.mark, value, min(low, high), max(low, high), self.files)
 
-    def text(self, unit: str = "", scale: float = 1.0) -> str:
+    def format(self, unit: str = "", scale: float = 1.0) -> str:
         """Return the figure as the page shows it, with its range if the rounded ends differ."""
         if self.mark is Mark.MISSING:
             return "not measured"
--- a/scale/report/limit.py
+++ b/scale/report/limit.py
@@ -48,7 +48,7 @@
         )
         return [
             self.label,
-            self.size.text(self.dimension),
+            self.size.format(self.dimension),
             reached_at,
             str(self.size.mark),
             self.cause,
--- a/scale/report/limits.py
+++ b/scale/report/limits.py
@@ -129,7 +129,7 @@
 
 def _counter_call_limit(evidence: Evidence) -> Limit:
     """Return the limit on requests per second that the counter's call capacity sets."""
-    calls_per_request = evidence.at_target("ingresses", "counter_calls_per_request")
+    calls_per_request = evidence.estimate_at_target("ingresses", "counter_calls_per_request")
     counter_calls_per_s = (SITE.counter_calls_low + SITE.counter_calls_high) / 2
     max_requests_per_s = calls_per_request.map(
         lambda calls: model.max_requests_per_s(counter_calls_per_s, calls) if calls > 0 else float("inf")
@@ -171,7 +171,7 @@
 
     Each ingress receives the change of every backend, and its control traffic is limited.
     """
-    change_bytes = evidence.at_target("backends", "change_bytes")
+    change_bytes = evidence.estimate_at_target("backends", "change_bytes")
     backend_count = change_bytes.map(
         lambda byte_count: max(0.0, TARGETS.control_bytes_per_s / max(byte_count, 1.0) - CONFIG_CHANGES_PER_S)
         * ZONE_LOSS_S
--- a/scale/report/measures.py
+++ b/scale/report/measures.py
@@ -9,7 +9,7 @@
 class Measure:
     """How the page shows a measure: its label, its unit and the sweeps whose tables show it."""
 
-    text: str
+    label: str
     unit: str
     sweeps: tuple[str, ...] = ()
 
@@ -71,7 +71,7 @@
 }
 
 
-def describe(name: str) -> Measure:
+def describe_measure(name: str) -> Measure:
     """Return how a measure is shown; a measure without an entry is shown by its name, without a unit."""
     return MEASURES.get(name, Measure(name.replace("_", " "), ""))
 
--- a/scale/report/page.py
+++ b/scale/report/page.py
@@ -8,7 +8,7 @@
 
 from scale.errors import ScaleError
 from scale.report import model, run_tables, tables
-from scale.report.cold import cold_table
+from scale.report.cold import cold_start_table
 from scale.report.constants import Constants
 from scale.report.evidence import Evidence
 from scale.report.figures import COMPUTED_DIGITS, Mark, format_number
@@ -88,7 +88,7 @@
             "runs": lambda: run_tables.run_table(self._selected_runs),
             "scenarios": lambda: tables.scenario_table(self._evidence),
             "ratios": lambda: run_tables.ratio_table(self._evidence),
-            "cold": lambda: cold_table(self._selected_runs.cold),
+            "cold": lambda: cold_start_table(self._selected_runs.cold_starts),
             "slopes": lambda: tables.slope_sections(self._evidence),
         }
         self._texts: dict[str, Callable[[], str]] = {
@@ -122,16 +122,16 @@
     def _render_measured(self, name: str) -> str:
         """Return the figure of DIMENSION.MEASURE at the dimension's target, with its mark and result file."""
         dimension, _, measure = name.partition(".")
-        figure = self._evidence.at_target(dimension, measure)
+        figure = self._evidence.estimate_at_target(dimension, measure)
         files = "".join(f", {result_link(file)}" for file in figure.files)
-        return f"{figure.text()} ({figure.mark}{files})"
+        return f"{figure.format()} ({figure.mark}{files})"
 
     def _render_mark(self, name: str) -> str:
         """Return the mark of SWEEP.MEASURE or scenario.MEASURE: how its figure was obtained."""
         sweep, _, measure = name.partition(".")
         if sweep == "scenario":
             return str(self._evidence.scenario_figure(measure).mark)
-        return str(self._evidence.at_target(sweep, measure).mark)
+        return str(self._evidence.estimate_at_target(sweep, measure).mark)
 
 
 def _describe_first_limit(limits: list[Limit]) -> str:
@@ -139,7 +139,7 @@
     for limit in limits:
         size = limit.size
         if size is not None and size.mark in (Mark.MEASURED, Mark.EXTRAPOLATED) and not limit.is_past_target:
-            return f"{limit.label}: at {size.text(limit.dimension)} ({size.mark})"
+            return f"{limit.label}: at {size.format(limit.dimension)} ({size.mark})"
     return "none of those measured so far (*missing*)"
 
 
--- a/scale/report/plots.py
+++ b/scale/report/plots.py
@@ -41,12 +41,12 @@
     target = DIMENSION_TARGETS.get(sweep.dimension, 0.0)
     costs: list[float] = []
     for version, run in sweep.runs_by_version().items():
-        growth = run.growth(measure)
+        growth = run.fit_growth(measure)
         if growth is not None:
-            _draw_growth(axes, growth, COLORS[version], f"{version}, {run.version}", target)
+            _draw_growth(axes, growth, COLORS[version], f"{version}, {run.commit_label}", target)
             costs += [*growth.costs, growth.fitted_cost(max(target, growth.sizes[-1]))]
     description = MEASURES[measure]
-    axes.set_title(description.text + (f", {description.unit}" if description.unit else ""), fontsize=7)
+    axes.set_title(description.label + (f", {description.unit}" if description.unit else ""), fontsize=7)
     axes.set_xscale("log")
     if costs and min(costs) > 0 and max(costs) > MIN_LOG_SCALE_RATIO * min(costs):
         axes.set_yscale("log")
@@ -62,7 +62,7 @@
     measures = [
         name
         for name, description in MEASURES.items()
-        if sweep.dimension in description.sweeps and sweep.after.growth(name) is not None
+        if sweep.dimension in description.sweeps and sweep.after.fit_growth(name) is not None
     ]
     if not measures:
         return None
--- a/scale/report/ratios.py
+++ b/scale/report/ratios.py
@@ -31,7 +31,7 @@
     small: FleetSize
 
     def __str__(self) -> str:
-        return f"{MEASURES[self.measure].text}: {self.large} to {self.small}"
+        return f"{MEASURES[self.measure].label}: {self.large} to {self.small}"
 
 
 LARGE_FLEET_INGRESSES = 3_400
@@ -50,7 +50,7 @@
 
 def measured_ratio(evidence: Evidence, ratio: Ratio, version: Version) -> Figure:
     """Return the ratio on the older or the newer commit; MISSING if either fleet size was not measured."""
-    run = evidence.run(ACCEPTANCE_SWEEP, version)
+    run = evidence.find_run(ACCEPTANCE_SWEEP, version)
     if run is None:
         return MISSING
     costs = {
--- a/scale/report/roles/agent.py
+++ b/scale/report/roles/agent.py
@@ -11,8 +11,8 @@
 
 def rows(sources: Sources) -> list[Row]:
     """Return the rows of the table."""
-    change_bytes = sources.evidence.at_target("backends", "change_bytes")
-    complete_list_bytes = sources.evidence.at_target("backends", "list_bytes")
+    change_bytes = sources.evidence.estimate_at_target("backends", "change_bytes")
+    complete_list_bytes = sources.evidence.estimate_at_target("backends", "list_bytes")
     return [
         Row(
             "state: the complete list, as text",
--- a/scale/report/roles/control.py
+++ b/scale/report/roles/control.py
@@ -42,7 +42,7 @@
 
 def _list_change_rows(evidence: Evidence) -> list[Row]:
     change_cpu = evidence.estimate_at_targets("change_cpu_us", "backends", "ingresses")
-    change_bytes = evidence.at_target("backends", "change_bytes")
+    change_bytes = evidence.estimate_at_target("backends", "change_bytes")
     return [
         Row("list changes, bytes", *change_traffic_cells(change_bytes), ALLOWED_BYTES_TEXT),
         Row(
@@ -57,7 +57,7 @@
 def _start_rows(evidence: Evidence) -> list[Row]:
     read_and_apply = combine(
         add,
-        evidence.at_target("backends", "list_read_cpu_ms"),
+        evidence.estimate_at_target("backends", "list_read_cpu_ms"),
         evidence.estimate_at_targets("list_apply_cpu_ms", "backends", "ingresses"),
     )
     module_creation = evidence.estimate_at_targets("start_cpu_ms", "backends", "ingresses")
@@ -68,7 +68,7 @@
 
 
 def _list_memory_row(evidence: Evidence) -> Row:
-    bytes_per_backend = evidence.at_target("backends", "memory_per_backend_bytes")
+    bytes_per_backend = evidence.estimate_at_target("backends", "memory_per_backend_bytes")
     return Row(
         "memory of the list",
         *same_cells(
--- a/scale/report/roles/control_machines.py
+++ b/scale/report/roles/control_machines.py
@@ -42,8 +42,8 @@
 
 
 def _traffic_rows(evidence: Evidence) -> list[Row]:
-    change_bytes = evidence.at_target("backends", "change_bytes")
-    complete_list_bytes = evidence.at_target("backends", "list_bytes")
+    change_bytes = evidence.estimate_at_target("backends", "change_bytes")
+    complete_list_bytes = evidence.estimate_at_target("backends", "list_bytes")
     return [
         Row(
             "changes out of each",
--- a/scale/report/roles/counter.py
+++ b/scale/report/roles/counter.py
@@ -27,7 +27,7 @@
 
 
 def _call_rows(evidence: Evidence) -> list[Row]:
-    calls_per_request = evidence.at_target("ingresses", "counter_calls_per_request")
+    calls_per_request = evidence.estimate_at_target("ingresses", "counter_calls_per_request")
     calls_per_s = calls_per_request.map(
         lambda calls: model.counter_calls_per_s(TARGETS.requests_per_s, calls)
     )
@@ -59,8 +59,8 @@
 
 
 def _wait_rows(evidence: Evidence) -> list[Row]:
-    share = evidence.at_target("ingresses", "counter_wait_share")
-    wait = evidence.at_target("ingresses", "counter_wait_p99_ms")
+    share = evidence.estimate_at_target("ingresses", "counter_wait_share")
+    wait = evidence.estimate_at_target("ingresses", "counter_wait_p99_ms")
     return [
         Row(
             "requests that wait for the counter",
--- a/scale/report/roles/regions.py
+++ b/scale/report/roles/regions.py
@@ -15,7 +15,7 @@
 
 def rows(sources: Sources) -> list[Row]:
     """Return the rows of the table."""
-    change_bytes = sources.evidence.at_target("backends", "change_bytes")
+    change_bytes = sources.evidence.estimate_at_target("backends", "change_bytes")
     return [
         Row(
             "changes into each region, from the others",
--- a/scale/report/roles/request_path.py
+++ b/scale/report/roles/request_path.py
@@ -61,7 +61,7 @@
 
 
 def _memory_row(evidence: Evidence) -> Row:
-    memory = evidence.at_target("backends", "memory_per_open_request_bytes")
+    memory = evidence.estimate_at_target("backends", "memory_per_open_request_bytes")
     return Row(
         "memory of requests in flight",
         Cell(
--- a/scale/report/roles/tenants.py
+++ b/scale/report/roles/tenants.py
@@ -16,7 +16,7 @@
 
 def rows(sources: Sources) -> list[Row]:
     """Return the rows of the table."""
-    tenant_bytes = sources.evidence.at_target("tenants", "memory_per_tenant_bytes")
+    tenant_bytes = sources.evidence.estimate_at_target("tenants", "memory_per_tenant_bytes")
     return [
         Row(
             "tenants that an ingress keeps",
--- a/scale/report/rows.py
+++ b/scale/report/rows.py
@@ -17,7 +17,7 @@
     note: str = ""
 
     def __str__(self) -> str:
-        figure_text = "" if self.figure is None else self.figure.text(self.unit, self.scale)
+        figure_text = "" if self.figure is None else self.figure.format(self.unit, self.scale)
         return ", ".join(part for part in (figure_text, self.note) if part) or "-"
 
 
--- a/scale/report/run_tables.py
+++ b/scale/report/run_tables.py
@@ -28,14 +28,14 @@
 
 def _mechanism_row(evidence: Evidence, dimension: str, measure: str) -> list[str]:
     """Return the row of one measure over one dimension."""
-    before = evidence.at_target(dimension, measure, "before")
-    after = evidence.at_target(dimension, measure)
+    before = evidence.estimate_at_target(dimension, measure, "before")
+    after = evidence.estimate_at_target(dimension, measure)
     description = MEASURES[measure]
     has_ratio = Mark.MISSING not in (before.mark, after.mark) and after.value > 0
     return [
-        f"{description.text}, {format_number(DIMENSION_TARGETS[dimension], 3)} {dimension}",
-        before.text(description.unit),
-        after.text(description.unit),
+        f"{description.label}, {format_number(DIMENSION_TARGETS[dimension], 3)} {dimension}",
+        before.format(description.unit),
+        after.format(description.unit),
         f"{format_number(before.value / after.value)} times" if has_ratio else "-",
         str(max(before.mark, after.mark)),
         _format_links(before, after),
@@ -50,8 +50,8 @@
         rows.append(
             [
                 str(ratio),
-                before.text("times"),
-                after.text("times"),
+                before.format("times"),
+                after.format("times"),
                 str(after.mark),
                 _format_links(before, after),
             ]
@@ -70,7 +70,7 @@
     for sweep in selected.sweeps.values():
         runs += sweep.runs_by_version().values()
     runs += selected.scenarios.values()
-    runs += [selected.cold] if selected.cold is not None else []
+    runs += [selected.cold_starts] if selected.cold_starts is not None else []
     rows = [_run_row(saved) for saved in runs]
     if not rows:
         return "No run is saved yet: all that needs one is *missing*."
@@ -82,7 +82,7 @@
     result = saved.result
     return [
         result_link(saved.file_name),
-        saved.version,
+        saved.commit_label,
         f"{result.taken_at:%Y-%m-%d %H:%M}",
         str(len(result.points)),
         str(result.environment.cores),
--- a/scale/report/tables.py
+++ b/scale/report/tables.py
@@ -46,11 +46,11 @@
 
 def scenario_table(evidence: Evidence) -> str:
     """Return the table of each scenario's newest run, with a column for each scenario."""
-    runs = list(evidence.selected.scenarios.values())
+    runs = list(evidence.selected_runs.scenarios.values())
     if not runs:
         return "No scenario was run yet: *missing*."
     head = ["what", *(f"{result_link(run.file_name)}, {_describe_sizes(run)}" for run in runs)]
-    rows = [[MEASURES[name].text, *(_last_value(run, name) for run in runs)] for name in SCENARIO_MEASURES]
+    rows = [[MEASURES[name].label, *(_last_value(run, name) for run in runs)] for name in SCENARIO_MEASURES]
     return markdown_table(head, rows)
 
 
@@ -87,7 +87,7 @@
 
 def slope_table(evidence: Evidence, sweep: str) -> str:
     """Return the table of each measure's growth over one sweep, before and after."""
-    target = format_number(evidence.target(sweep), 3)
+    target = format_number(evidence.target_of(sweep), 3)
     head = ["what", "grows, before", "grows, after", f"before, at {target}", f"after, at {target}", "mark"]
     rows = [
         _slope_row(evidence, sweep, name)
@@ -98,22 +98,22 @@
         return "Not measured: *missing*."
     files = "; ".join(
         f"{version}: {result_link(run.file_name)}"
-        for version, run in evidence.selected.sweeps[sweep].runs_by_version().items()
+        for version, run in evidence.selected_runs.sweeps[sweep].runs_by_version().items()
     )
     return f"{markdown_table(head, rows)}\n\nFrom {files}."
 
 
 def _slope_row(evidence: Evidence, sweep: str, measure: str) -> list[str]:
     """Return the row of one measure in the table of a sweep."""
-    before = evidence.at_target(sweep, measure, "before")
-    after = evidence.at_target(sweep, measure)
+    before = evidence.estimate_at_target(sweep, measure, "before")
+    after = evidence.estimate_at_target(sweep, measure)
     description = MEASURES[measure]
     return [
-        description.text,
+        description.label,
         describe_growth(evidence.fit_growth(sweep, measure, "before")),
         describe_growth(evidence.fit_growth(sweep, measure)),
-        before.text(description.unit),
-        after.text(description.unit),
+        before.format(description.unit),
+        after.format(description.unit),
         str(after.mark),
     ]
 
@@ -123,7 +123,11 @@
 
     The sweeps named after a dimension come first, even if they were not run, then the others.
     """
-    names = [name for name in DIMENSION_TARGETS if name in evidence.selected.sweeps or name in ALL_SWEEPS]
-    names += [name for name in evidence.selected.sweeps if name not in names and evidence.target(name)]
+    names = [
+        name for name in DIMENSION_TARGETS if name in evidence.selected_runs.sweeps or name in ALL_SWEEPS
+    ]
+    names += [
+        name for name in evidence.selected_runs.sweeps if name not in names and evidence.target_of(name)
+    ]
     sections = [f"### {name.replace('_', ' ')}\n\n{slope_table(evidence, name)}" for name in names]
     return "\n\n".join(sections)
--- a/scale/report/versions.py
+++ b/scale/report/versions.py
@@ -8,7 +8,7 @@
 
 from scale.report.fits import Growth, fit_growth
 from scale.report.targets import dimension_of
-from scale.results import Result, load
+from scale.results import Result, load_result
 
 # File that lists commits, one per line, oldest first.  Commits that it does not list count as newer.
 COMMIT_ORDER_FILE = "commits.txt"
@@ -22,7 +22,7 @@
     result: Result
 
     @property
-    def version(self) -> str:
+    def commit_label(self) -> str:
         """Return the abbreviated commit, with a note if there were uncommitted changes."""
         return self.result.commit[:7] + (" with uncommitted changes" if self.result.dirty else "")
 
@@ -31,7 +31,7 @@
         """Return the dimension that the sweep varies."""
         return dimension_of(self.result.name)
 
-    def growth(self, measure: str) -> Growth | None:
+    def fit_growth(self, measure: str) -> Growth | None:
         """Fit a measure over the dimension that the sweep varies; None if there are too few points."""
         dimension = self.dimension
         return fit_growth(
@@ -42,7 +42,7 @@
             ]
         )
 
-    def measures(self) -> list[str]:
+    def list_measure_names(self) -> list[str]:
         """Return the names of all measures, sorted."""
         return sorted({name for point in self.result.points for name in point.measures})
 
@@ -71,12 +71,12 @@
 
     sweeps: dict[str, Sweep] = field(default_factory=dict)
     scenarios: dict[str, SavedResult] = field(default_factory=dict)
-    cold: SavedResult | None = None  # the run of cold starts on the newest commit
+    cold_starts: SavedResult | None = None  # the run of cold starts on the newest commit
 
 
 def read_saved_results(folder: Path) -> list[SavedResult]:
     """Load all results of a folder, the oldest first."""
-    saved_results = [SavedResult(path.name, load(path)) for path in sorted(folder.glob("*.json"))]
+    saved_results = [SavedResult(path.name, load_result(path)) for path in sorted(folder.glob("*.json"))]
     return sorted(saved_results, key=lambda saved: (saved.result.taken_at, saved.file_name))
 
 
--- a/scale/results.py
+++ b/scale/results.py
@@ -76,7 +76,7 @@
     return datetime.now(UTC)
 
 
-def save(result: Result, folder: Path) -> Path:
+def save_result(result: Result, folder: Path) -> Path:
     """Write a result into the folder, which is created if it is missing, and return the file's path."""
     folder.mkdir(parents=True, exist_ok=True)
     stamp = result.taken_at.astimezone(UTC).strftime(FILE_TIME_FORMAT)
@@ -86,7 +86,7 @@
     return path
 
 
-def load(path: Path) -> Result:
+def load_result(path: Path) -> Result:
     """Read a result; raise ResultError if the file does not hold one."""
     try:
         return Result.model_validate_json(path.read_text(encoding="utf-8"))
@@ -98,6 +98,8 @@
         raise ResultError(f"{path.name}: {error}") from None
 
 
-def load_all(folder: Path) -> list[Result]:
+def load_results(folder: Path) -> list[Result]:
     """Read all results of a folder, oldest first."""
-    return sorted((load(path) for path in sorted(folder.glob("*.json"))), key=lambda result: result.taken_at)
+    return sorted(
+        (load_result(path) for path in sorted(folder.glob("*.json"))), key=lambda result: result.taken_at
+    )
--- a/scale/schedule.py
+++ b/scale/schedule.py
@@ -28,7 +28,7 @@
     def __bool__(self) -> bool:
         return bool(self._heap)
 
-    def plan(self, at: float, item: T) -> None:
+    def add(self, at: float, item: T) -> None:
         """Add an item that is due at the given time (s)."""
         self._added_count += 1
         heapq.heappush(self._heap, ScheduledItem(at, self._added_count, item))
--- a/scale/slopes/runner.py
+++ b/scale/slopes/runner.py
@@ -11,7 +11,7 @@
 
 from pydantic import ValidationError
 
-from scale.environment import Observer, commit_of
+from scale.environment import MachineObserver, read_commit
 from scale.errors import ScaleError
 from scale.project import child_environment
 from scale.results import Point, Result, now
@@ -27,7 +27,7 @@
 
 
 @dataclass
-class Runner:
+class SweepRunner:
     """Measures the points of sweeps with the version in `project`; equal points are measured once."""
 
     project: Path
@@ -38,10 +38,10 @@
 
     def run(self, sweep: Sweep, on_pass_done: Callable[[], None]) -> Result:
         """Measure all points of a sweep, and return the result; `on_pass_done` is called after each pass."""
-        commit, dirty = commit_of(self.project)
+        commit, dirty = read_commit(self.project)
         taken_at = now()
         started_at = time.monotonic()
-        with Observer(self.note) as observer:
+        with MachineObserver(self.note) as observer:
             points = [self._measure_point(sweep, sizes, on_pass_done) for sizes in sweep.sizes]
         return Result(
             kind="slopes",
--- a/scale/slopes/simulation.py
+++ b/scale/slopes/simulation.py
@@ -51,7 +51,7 @@
     def start_changes(self, build_change: BuildChange, changes_per_s: float) -> None:
         """Let the endpoint list change from now on, at even intervals."""
         self._change_interval_s = 1 / changes_per_s
-        self._schedule.plan(self.now + self._change_interval_s, build_change)
+        self._schedule.add(self.now + self._change_interval_s, build_change)
 
     def run(self, should_stop: Callable[[], bool]) -> None:
         """Handle events until `should_stop` returns true or no more are scheduled."""
@@ -77,7 +77,7 @@
     def _schedule_next_arrival(self) -> None:
         if self._arrivals is not None:
             arrival = next(self._arrivals)
-            self._schedule.plan(arrival.arrives_at, arrival)
+            self._schedule.add(arrival.arrives_at, arrival)
 
     def _handle_next(self) -> None:
         due = self._schedule.pop()
@@ -88,7 +88,7 @@
                 self._schedule_next_arrival()
         elif callable(due.item):
             self._handle(due.item(self.now))
-            self._schedule.plan(self.now + self._change_interval_s, due.item)
+            self._schedule.add(self.now + self._change_interval_s, due.item)
         else:
             self._handle(due.item)
 
@@ -113,10 +113,10 @@
             case Fail(id=request_id):
                 self.ledger.record_failure(request_id, self.now)
             case SetTimer(delay=delay, token=token):
-                self._schedule.plan(self.now + max(0.0, delay), TimerFired(token))
+                self._schedule.add(self.now + max(0.0, delay), TimerFired(token))
             case IncrementCounter():
                 delayed_reply = self.counter.call(self.now, action)
-                self._schedule.plan(delayed_reply.received_at, delayed_reply.reply)
+                self._schedule.add(delayed_reply.received_at, delayed_reply.reply)
                 self.ledger.record_counter_call(action, cause, delayed_reply.reply)
 
     def _send_attempt(self, request_id: str, backend_id: str) -> None:
@@ -128,4 +128,4 @@
             latency=BACKEND_LATENCY_S,
             finished=True,
         )
-        self._schedule.plan(self.now + BACKEND_LATENCY_S, ended)
+        self._schedule.add(self.now + BACKEND_LATENCY_S, ended)
--- a/scale/slopes/sweeps.py
+++ b/scale/slopes/sweeps.py
@@ -103,6 +103,6 @@
 }
 
 
-def quick(sweep: Sweep) -> Sweep:
+def shorten_sweep(sweep: Sweep) -> Sweep:
     """Return a sweep with only the first points, which are too few to fit a growth to."""
     return Sweep(sweep.name, sweep.passes, sweep.sizes[:SHORT_SWEEP_POINTS])
--- a/scale/slopes/tables.py
+++ b/scale/slopes/tables.py
@@ -8,7 +8,7 @@
 
 from scale.results import Point, Result
 
-ACCEPTANCE = "acceptance"
+ACCEPTANCE_SWEEP = "acceptance"
 SIZE_ROWS = ("backends", "ingresses", "tenants", "services", "changes_per_s")
 MEASURE_ROWS = {
     "request_cpu_p50_us": "request p50 us",
@@ -73,7 +73,7 @@
     return f"{value:,.0f}" if abs(value) >= 1000 else f"{value:,.3g}"
 
 
-def sweep_table(result: Result) -> Table:
+def build_sweep_table(result: Result) -> Table:
     """Return a table with one column for each point: the sizes that differ, and the measures."""
     size_names = [name for name in SIZE_ROWS if len({point.sizes[name] for point in result.points}) > 1]
     table = Table(title=f"{result.name}, commit {result.commit[:7]}", show_header=False)
@@ -95,7 +95,7 @@
     return None
 
 
-def ratio_table(result: Result) -> Table:
+def build_ratio_table(result: Result) -> Table:
     """Return a table of the ratios between points of the acceptance sweep, as far as they were measured."""
     table = Table("ratio", "of backends/ingresses", "to", "value", title="acceptance, ratios")
     for ratio in RATIOS:
--- a/scale/standins/agent.py
+++ b/scale/standins/agent.py
@@ -10,7 +10,7 @@
 from urllib.parse import parse_qs, urlsplit
 
 from scale.addresses import Address
-from scale.standins.registry import Entry, Published, Registry
+from scale.standins.registry import Entry, PublishedChange, Registry
 
 MAX_HEAD_BYTES = 8192  # longest head of a request
 MAX_WATCH_WAIT_S = 60.0  # longest time for which a long poll is held open
@@ -130,7 +130,7 @@
             return
         held_version = self.held_version
         self._clear_pending_call()
-        body = self.agent.registry.body(held_version)
+        body = self.agent.registry.encode_answer(held_version)
         if held_version is None or b'"full":true' in body[:64]:
             self.agent.counts[self.group].whole_lists += 1
         self._write(_encode_response(b"200 OK", body))
@@ -162,8 +162,8 @@
         self.connections: set[AgentConnection] = set()
         self.counts: dict[str, AgentCounts] = {}  # by group
         # By group: the versions that its ingresses have applied, and when a call showed so (monotonic clock).
-        self.acted: dict[str, list[tuple[int, float]]] = {}
-        self.published: list[Published] = []
+        self.acted_versions: dict[str, list[tuple[int, float]]] = {}
+        self.published_changes: list[PublishedChange] = []
         self._servers: dict[str, asyncio.Server] = {}  # by group
 
     async def listen(self, group: str) -> Address:
@@ -173,7 +173,7 @@
         )
         self._servers[group] = server
         self.counts.setdefault(group, AgentCounts())
-        self.acted.setdefault(group, [])
+        self.acted_versions.setdefault(group, [])
         address: Address = server.sockets[0].getsockname()[:2]
         return address
 
@@ -185,7 +185,7 @@
                 connection.transport.abort()
         return await self.listen(group)
 
-    def current_watches(self) -> int:
+    def count_up_to_date_watches(self) -> int:
         """Return how many long polls wait for a change after the newest version."""
         return sum(
             each.is_call_pending and each.held_version == self.registry.version for each in self.connections
@@ -193,14 +193,14 @@
 
     def record_acted_version(self, group: str, version: int) -> None:
         """Record that an ingress has applied a version: its long poll asks for the changes after that one."""
-        acted_versions = self.acted[group]
+        acted_versions = self.acted_versions[group]
         if not acted_versions or acted_versions[-1][0] != version:
             acted_versions.append((version, time.monotonic()))
 
-    def publish(self, *entries: Entry) -> Published:
+    def publish(self, *entries: Entry) -> PublishedChange:
         """Publish a change of some entries and answer the long polls that wait for it."""
         change = self.registry.publish(entries)
-        self.published.append(change)
+        self.published_changes.append(change)
         self._answer_due_calls()
         return change
 
--- a/scale/standins/backend_queue.py
+++ b/scale/standins/backend_queue.py
@@ -11,12 +11,12 @@
 COLD_WINDOW_S = 0.1  # length of the windows in which the load of a cold backend is counted
 
 
-def window_of(unix_time: float) -> int:
+def get_window_number(unix_time: float) -> int:
     """Return the number of the window that a Unix time falls into."""
     return int(unix_time / COLD_WINDOW_S)
 
 
-def capacity_at(model: BackendModel, age: float) -> float:
+def calculate_capacity(model: BackendModel, age: float) -> float:
     """Return the units per second that a backend can serve `age` seconds after its start.
 
     The capacity grows linearly from the cold share to the whole over the duration of the cold start.
@@ -42,7 +42,7 @@
 
     def calculate_capacity(self, unix_time: float) -> float:
         """Return the units per second that the backend can serve at a Unix time."""
-        return capacity_at(self._model, unix_time - self.started_at)
+        return calculate_capacity(self._model, unix_time - self.started_at)
 
     def accept_request(self, units: float) -> float | None:
         """Queue a request; return the seconds until its answer, or None if the queue is full."""
@@ -59,5 +59,5 @@
 
     def _count_cold_units(self, units: float, unix_time: float) -> None:
         if self.started_at and unix_time < self.started_at + self._model.cold_s:
-            window = window_of(unix_time)
+            window = get_window_number(unix_time)
             self.cold_units[window] = self.cold_units.get(window, 0.0) + units
--- a/scale/standins/client_requests.py
+++ b/scale/standins/client_requests.py
@@ -8,7 +8,7 @@
 import hiredis
 
 from scale.standins.backends import parse_answer_value
-from scale.standins.histograms import Times
+from scale.standins.histograms import TimeHistogram
 from scale.standins.traffic import DrawnRequest
 
 
@@ -60,9 +60,9 @@
     """The counts and the latencies of all clients of one ingress."""
 
     counts: ClientCounts = field(default_factory=ClientCounts)
-    latency: Times = field(default_factory=Times)
+    latencies: TimeHistogram = field(default_factory=TimeHistogram)
     """Latencies of served requests."""
-    added: Times = field(default_factory=Times)
+    added_latencies: TimeHistogram = field(default_factory=TimeHistogram)
     """Latencies of served requests without the service time of the backend."""
 
     def record_answer(self, request: PendingRequest, answer: object, now: float) -> None:
@@ -90,8 +90,8 @@
             self.counts.wrong += 1
             return
         self.counts.served += 1
-        self.latency.record(latency)
-        self.added.record(max(0.0, latency - service_time))
+        self.latencies.record(latency)
+        self.added_latencies.record(max(0.0, latency - service_time))
 
 
 def encode_command(drawn_request: DrawnRequest, request_id: bytes, idempotency_key: bytes) -> bytes:
--- a/scale/standins/clients.py
+++ b/scale/standins/clients.py
@@ -48,7 +48,7 @@
         """Let no further request arrive."""
         self._arrivals.stop()
 
-    def pause(self, is_paused: bool) -> None:
+    def set_paused(self, is_paused: bool) -> None:
         """Set whether requests are withheld, as a load balancer does while the ingress restarts."""
         if is_paused:
             self._arrivals.stop()
--- a/scale/standins/histograms.py
+++ b/scale/standins/histograms.py
@@ -11,7 +11,7 @@
 SIGNIFICANT_DIGITS = 3
 
 
-class Times:
+class TimeHistogram:
     """A histogram of times."""
 
     def __init__(self, encoded: str = "") -> None:
@@ -36,10 +36,10 @@
         """The number of recorded times."""
         return int(self._histogram.get_total_count())
 
-    def microseconds(self, percentile: float) -> float:
+    def get_percentile_us(self, percentile: float) -> float:
         """Return a percentile (0 to 100) in microseconds, or 0 if nothing was recorded."""
         return float(self._histogram.get_value_at_percentile(percentile)) if self.count else 0.0
 
-    def milliseconds(self, percentile: float) -> float:
+    def get_percentile_ms(self, percentile: float) -> float:
         """Return a percentile (0 to 100) in milliseconds, or 0 if nothing was recorded."""
-        return self.microseconds(percentile) / 1000
+        return self.get_percentile_us(percentile) / 1000
--- a/scale/standins/registry.py
+++ b/scale/standins/registry.py
@@ -46,12 +46,12 @@
 
 
 @dataclass(frozen=True, slots=True)
-class Published:
+class PublishedChange:
     """A published change of the list."""
 
     version: int
     """The version of the list with the change."""
-    at: float
+    published_at: float
     """When it was published, on the monotonic clock."""
     entries: tuple[Entry, ...]
 
@@ -65,12 +65,12 @@
     def __init__(self, entries: Iterable[Entry] = ()) -> None:
         self.entries = {entry.id: entry for entry in entries}  # by id
         self.version = 1
-        self.changes: deque[Published] = deque(maxlen=MAX_KEPT_CHANGES)
+        self.changes: deque[PublishedChange] = deque(maxlen=MAX_KEPT_CHANGES)
         self._encoded_answers: dict[int | None, bytes] = {}  # by the version that the caller holds
 
-    def publish(self, entries: Iterable[Entry]) -> Published:
+    def publish(self, entries: Iterable[Entry]) -> PublishedChange:
         """Change some entries; an entry in the state `gone` is removed from the list."""
-        change = Published(self.version + 1, time.monotonic(), tuple(entries))
+        change = PublishedChange(self.version + 1, time.monotonic(), tuple(entries))
         self.version = change.version
         self.changes.append(change)
         self._encoded_answers.clear()
@@ -81,7 +81,7 @@
                 self.entries[entry.id] = entry
         return change
 
-    def body(self, held_version: int | None) -> bytes:
+    def encode_answer(self, held_version: int | None) -> bytes:
         """Return the encoded answer to a call from an ingress that holds a version of the list.
 
         It contains the changes after that version, or the complete list if the version is None or its next
--- a/scale/standins/traffic.py
+++ b/scale/standins/traffic.py
@@ -10,7 +10,7 @@
 from scale.scenario import ClassModel, PlanModel, Scenario
 
 UNIT_CHOICES = (1, 1, 1, 2, 4)  # units of a request, drawn with equal probability
-MAX_UNITS = max(UNIT_CHOICES)
+MAX_REQUEST_UNITS = max(UNIT_CHOICES)
 
 
 @dataclass(frozen=True, slots=True)
--- a/tests/counter/test_connection.py
+++ b/tests/counter/test_connection.py
@@ -5,8 +5,8 @@
 import pytest
 
 from ingress.interface import Outcome
-from tests.support.counter import ClientUnderTest, scripted_counter
-from tests.support.peers import Peer, Reader, Writer, run, until
+from tests.support.counter import CounterClientUnderTest, scripted_counter
+from tests.support.peers import Reader, ScriptedServer, Writer, run_async_test, wait_until
 
 MALFORMED_ANSWERS = (
     b"what\r\n",
@@ -35,11 +35,11 @@
 def test_answer_is_reported_with_its_outcome_and_total(answer: bytes, outcome: Outcome, total: float) -> None:
     async def body() -> None:
         async with scripted_counter(answer) as peer:
-            caller = ClientUnderTest(peer.address)
-            caller.add()
-            assert await caller.reply() == (7, outcome, total)
+            caller = CounterClientUnderTest(peer.address)
+            caller.start_call()
+            assert await caller.wait_for_reply() == (7, outcome, total)
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("answer", MALFORMED_ANSWERS)
@@ -49,14 +49,14 @@
             writer.write(b"ok 5\r\n" if number else answer + b"ok 99\r\n")
 
     async def body() -> None:
-        async with Peer(script) as peer:
-            caller = ClientUnderTest(peer.address)
-            caller.add()
-            assert (await caller.reply())[1] is Outcome.TIMEOUT
-            caller.add()
-            assert await caller.reply(2) == (7, Outcome.OK, 5.0)
+        async with ScriptedServer(script) as peer:
+            caller = CounterClientUnderTest(peer.address)
+            caller.start_call()
+            assert (await caller.wait_for_reply())[1] is Outcome.TIMEOUT
+            caller.start_call()
+            assert await caller.wait_for_reply(2) == (7, Outcome.OK, 5.0)
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize(
@@ -72,64 +72,64 @@
 def test_call_is_encoded_as_an_add_line(amount: float, lifetime: float, line: bytes) -> None:
     async def body() -> None:
         async with scripted_counter() as peer:
-            caller = ClientUnderTest(peer.address)
-            caller.add(7, amount, lifetime)
-            await until(lambda: peer.commands)
-            assert peer.commands == [[line]]
+            caller = CounterClientUnderTest(peer.address)
+            caller.start_call(7, amount, lifetime)
+            await wait_until(lambda: peer.received_commands)
+            assert peer.received_commands == [[line]]
 
-    run(body())
+    run_async_test(body())
 
 
 def test_calls_are_pipelined_on_one_connection_and_matched_to_answers_in_order() -> None:
-    callers: list[ClientUnderTest] = []
+    callers: list[CounterClientUnderTest] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         for _ in range(3):
-            peer.commands.append([await reader.readline()])
+            peer.received_commands.append([await reader.readline()])
         writer.write(b"ok 1\r\nbu")
-        await until(lambda: callers[0].replies)
+        await wait_until(lambda: callers[0].replies)
         writer.write(b"sy\r\nok 3\r\n")
         await reader.read()
 
     async def body() -> None:
         async with peer:
-            caller = ClientUnderTest(peer.address)
+            caller = CounterClientUnderTest(peer.address)
             callers.append(caller)
             for name in (1, 2, 3):
-                caller.add(name)
-            await caller.reply(3)
+                caller.start_call(name)
+            await caller.wait_for_reply(3)
             assert [(r.name, r.outcome, r.total) for r in caller.replies] == [
                 (1, Outcome.OK, 1.0),
                 (2, Outcome.REJECTED, 0.0),
                 (3, Outcome.OK, 3.0),
             ]
-            assert peer.connections == 1
+            assert peer.connection_count == 1
 
-    peer = Peer(script)
-    run(body())
+    peer = ScriptedServer(script)
+    run_async_test(body())
 
 
 def test_late_answer_is_not_matched_to_the_next_call() -> None:
-    callers: list[ClientUnderTest] = []
+    callers: list[CounterClientUnderTest] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await reader.readline()
-        await until(lambda: callers[0].replies)
+        await wait_until(lambda: callers[0].replies)
         callers[0].client.timeout_s = 5.0
-        callers[0].add(2)
+        callers[0].start_call(2)
         await reader.readline()
         writer.write(b"ok 100\r\nok 200\r\n")
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer:
-            caller = ClientUnderTest(peer.address, timeout_s=0.2)
+        async with ScriptedServer(script) as peer:
+            caller = CounterClientUnderTest(peer.address, timeout_s=0.2)
             callers.append(caller)
-            caller.add(1)
-            assert await caller.reply() == (1, Outcome.TIMEOUT, 0.0)
-            assert await caller.reply(2) == (2, Outcome.OK, 200.0)
+            caller.start_call(1)
+            assert await caller.wait_for_reply() == (1, Outcome.TIMEOUT, 0.0)
+            assert await caller.wait_for_reply(2) == (2, Outcome.OK, 200.0)
 
-    run(body())
+    run_async_test(body())
 
 
 def test_connection_closed_during_a_call_reports_a_timeout_and_is_replaced() -> None:
@@ -140,11 +140,11 @@
             await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer:
-            caller = ClientUnderTest(peer.address)
-            caller.add()
-            assert await caller.reply() == (7, Outcome.TIMEOUT, 0.0)
-            caller.add()
-            assert await caller.reply(2) == (7, Outcome.OK, 5.0)
-
-    run(body())
+        async with ScriptedServer(script) as peer:
+            caller = CounterClientUnderTest(peer.address)
+            caller.start_call()
+            assert await caller.wait_for_reply() == (7, Outcome.TIMEOUT, 0.0)
+            caller.start_call()
+            assert await caller.wait_for_reply(2) == (7, Outcome.OK, 5.0)
+
+    run_async_test(body())
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -6,42 +6,42 @@
 
 from ingress.decisions import Gateway
 from ingress.interface import Backend, EndpointUpdate, EndpointUpdateKind, Outcome, Request
-from tests.support.balancer import UNLIMITED, answer_all
-from tests.support.gateway import SETTINGS, Play, sends
+from tests.support.balancer import UNLIMITED_SETTINGS, count_requests_by_backend
+from tests.support.gateway import SETTINGS, GatewayHarness, find_sent_attempts
 
 
 def test_unreachable_backends_stay_ejected_even_if_they_are_the_majority() -> None:
-    play = Play(UNLIMITED)
-    answer_all(play, 0.05)
-    for backend in list(play.gateway.balancer.tracked_backends.values())[:3]:
-        backend.record_failure(play.now, Outcome.CONNECT_FAILED, 1.0)
-    assert set(answer_all(play, 0.001, 20)) == {"b3"}
+    harness = GatewayHarness(UNLIMITED_SETTINGS)
+    count_requests_by_backend(harness, 0.05)
+    for backend in list(harness.gateway.balancer.tracked_backends.values())[:3]:
+        backend.record_failure(harness.now, Outcome.CONNECT_FAILED, 1.0)
+    assert set(count_requests_by_backend(harness, 0.001, 20)) == {"b3"}
 
 
 def test_all_backends_stay_in_use_if_all_return_errors() -> None:
-    play = Play(UNLIMITED)
-    answer_all(play, 0.05)
-    for backend in play.gateway.balancer.tracked_backends.values():
+    harness = GatewayHarness(UNLIMITED_SETTINGS)
+    count_requests_by_backend(harness, 0.05)
+    for backend in harness.gateway.balancer.tracked_backends.values():
         for _ in range(3):
-            backend.record_failure(play.now, Outcome.ERROR, 1.0)
-    assert len(answer_all(play, 0.05, 20)) > 1
+            backend.record_failure(harness.now, Outcome.ERROR, 1.0)
+    assert len(count_requests_by_backend(harness, 0.05, 20)) > 1
 
 
 def test_silent_backend_gets_no_new_attempts() -> None:
-    play = Play(UNLIMITED)
-    answer_all(play, 0.05)
-    silent = sends(play.ask(0.0))[0].backend
-    play.now += 0.5
-    assert silent not in answer_all(play, 0.01, 40)
+    harness = GatewayHarness(UNLIMITED_SETTINGS)
+    count_requests_by_backend(harness, 0.05)
+    silent = find_sent_attempts(harness.deliver_request(0.0))[0].backend
+    harness.now += 0.5
+    assert silent not in count_requests_by_backend(harness, 0.01, 40)
 
 
 def test_slow_backend_gets_fewer_requests() -> None:
-    play = Play(UNLIMITED)
+    harness = GatewayHarness(UNLIMITED_SETTINGS)
     sent_counts: dict[str, int] = {}
     for _ in range(300):
-        for attempt in sends(play.ask(0.02)):
+        for attempt in find_sent_attempts(harness.deliver_request(0.02)):
             sent_counts[attempt.backend] = sent_counts.get(attempt.backend, 0) + 1
-            play.end(attempt, Outcome.OK, 0.3 if attempt.backend == "b1" else 0.05)
+            harness.end_attempt(attempt, Outcome.OK, 0.3 if attempt.backend == "b1" else 0.05)
     assert sent_counts["b1"] < min(sent_counts[b] for b in ("b0", "b2", "b3")) / 2
 
 
@@ -52,20 +52,22 @@
         gateway = Gateway(replace(SETTINGS, instance_count=400, instance_index=seed), seed)
         gateway.handle(1.0, EndpointUpdate(EndpointUpdateKind.RESTORED, tuple(fleet)))
         actions = gateway.handle(1.1, Request("r", "read", "basic", "c", 4.0))
-        chosen_numbers += [int(s.backend[1:]) for s in sends(actions)]
+        chosen_numbers += [int(s.backend[1:]) for s in find_sent_attempts(actions)]
     assert len(set(chosen_numbers)) == len(fleet)
     # The ten heavy backends have a weight of 20 of 50.
     assert 0.3 < sum(n < 10 for n in chosen_numbers) / len(chosen_numbers) < 0.5
 
 
 def test_backend_of_another_zone_is_used_if_the_own_zone_has_none() -> None:
-    play = Play(replace(UNLIMITED, zone="c"), fleet=(Backend("x", "a"),))
-    assert sends(play.ask())
+    harness = GatewayHarness(replace(UNLIMITED_SETTINGS, zone="c"), backends=(Backend("x", "a"),))
+    assert find_sent_attempts(harness.deliver_request())
 
 
 def test_backends_are_used_if_all_weights_are_zero() -> None:
-    play = Play(fleet=(Backend("cold", started=100.0, weight=0.0), Backend("warm", weight=0.0)))
+    harness = GatewayHarness(
+        backends=(Backend("cold", started=100.0, weight=0.0), Backend("warm", weight=0.0))
+    )
     for _ in range(10):
-        for attempt in sends(play.ask(1.0)):
-            play.end(attempt, Outcome.OK, 0.01)
-    assert {attempt.backend for attempt in sends(play.actions)} == {"cold", "warm"}
+        for attempt in find_sent_attempts(harness.deliver_request(1.0)):
+            harness.end_attempt(attempt, Outcome.OK, 0.01)
+    assert {attempt.backend for attempt in find_sent_attempts(harness.actions)} == {"cold", "warm"}
--- a/tests/decisions/test_balancer_cost.py
+++ b/tests/decisions/test_balancer_cost.py
@@ -11,7 +11,7 @@
 
 from ingress.decisions import Gateway
 from ingress.decisions.balancer import MAX_COMPARED, MAX_FALLBACK_COMPARED, MAX_SAMPLED_READY
-from ingress.decisions.subset import MIN_HOLDERS, SUBSET_SIZE, Subsetting
+from ingress.decisions.subset import MIN_GATEWAYS_PER_BACKEND, SUBSET_SIZE, Subsetting
 from ingress.interface import (
     AttemptEnded,
     Backend,
@@ -21,8 +21,8 @@
     Request,
     Settings,
 )
-from tests.support.balancer import MANY_GATEWAYS, backends
-from tests.support.gateway import SETTINGS, sends
+from tests.support.balancer import MANY_GATEWAYS_SETTINGS, make_backends
+from tests.support.gateway import SETTINGS, find_sent_attempts
 
 
 def count_calls(action: Callable[[], object]) -> int:
@@ -36,7 +36,7 @@
     """Return a gateway with `count` backends that has served 100 requests, and the current time (s)."""
     now = 100.0
     gateway = Gateway(settings, 1)
-    gateway.handle(now, EndpointUpdate(EndpointUpdateKind.RESTORED, backends(count)))
+    gateway.handle(now, EndpointUpdate(EndpointUpdateKind.RESTORED, make_backends(count)))
     for number in range(100):
         now += 0.01
         serve_request(gateway, now, f"w{number}")
@@ -45,7 +45,7 @@
 
 def serve_request(gateway: Gateway, now: float, name: str) -> None:
     """Send a request with the id `name` and answer its attempts, all at the time `now`."""
-    for sent in sends(gateway.handle(now, Request(name, "read", "basic", "c", 4.0))):
+    for sent in find_sent_attempts(gateway.handle(now, Request(name, "read", "basic", "c", 4.0))):
         gateway.handle(now, AttemptEnded(sent.id, 0, sent.backend, Outcome.OK, 0.05, True))
 
 
@@ -53,18 +53,20 @@
 def test_cost_of_a_request_does_not_grow_with_the_number_of_backends(gateways: int) -> None:
     costs = {}
     for count in (200, 20_000):
-        gateway, now = create_warmed_up_gateway(replace(MANY_GATEWAYS, instance_count=gateways), count)
+        gateway, now = create_warmed_up_gateway(
+            replace(MANY_GATEWAYS_SETTINGS, instance_count=gateways), count
+        )
         costs[count] = [
             count_calls(lambda gateway=gateway, now=now, n=n: serve_request(gateway, now, f"r{n}"))  # type: ignore[misc]
             for n in range(40)
         ]
     assert sum(costs[20_000]) <= 3.0 * sum(costs[200])  # 32 backends are compared instead of 12
-    if 20_000 * MIN_HOLDERS / gateways <= SUBSET_SIZE:
+    if 20_000 * MIN_GATEWAYS_PER_BACKEND / gateways <= SUBSET_SIZE:
         assert sum(costs[20_000]) <= 1.1 * sum(costs[200])
 
 
 def test_request_without_available_backend_compares_a_bounded_number() -> None:
-    gateway, now = create_warmed_up_gateway(MANY_GATEWAYS, 20_000)
+    gateway, now = create_warmed_up_gateway(MANY_GATEWAYS_SETTINGS, 20_000)
     for backend in gateway.balancer.candidates:
         backend.record_failure(now, Outcome.CONNECT_FAILED, 60.0)
     compared = MAX_COMPARED + MAX_FALLBACK_COMPARED + MAX_SAMPLED_READY
@@ -74,7 +76,9 @@
 def test_cost_of_a_changed_entry_does_not_grow_with_the_number_of_backends() -> None:
     costs = []
     for gateways, count in ((40, 200), (3400, 20_000)):
-        gateway, now = create_warmed_up_gateway(replace(MANY_GATEWAYS, instance_count=gateways), count)
+        gateway, now = create_warmed_up_gateway(
+            replace(MANY_GATEWAYS_SETTINGS, instance_count=gateways), count
+        )
         change = EndpointUpdate(EndpointUpdateKind.UPDATE, (Backend("new"),))
         costs.append(count_calls(lambda gateway=gateway, now=now, change=change: gateway.handle(now, change)))  # type: ignore[misc]
     assert costs[1] <= 3 * costs[0]
--- a/tests/decisions/test_ceiling.py
+++ b/tests/decisions/test_ceiling.py
@@ -8,8 +8,8 @@
 
 from ingress.decisions.ceiling import CeilingUse
 from ingress.interface import CounterReply, Outcome, Plan, TimerFired
-from tests.support.gateway import SETTINGS, Play, sends
-from tests.support.quota import COUNTING, counter_calls, customer_of, spend
+from tests.support.gateway import SETTINGS, GatewayHarness, find_sent_attempts
+from tests.support.quota import COUNTER_SETTINGS, deliver_requests, get_customer, list_counter_calls
 
 CEILING_PLAN = Plan("basic", rate=2.0, burst=8.0, ceiling_rate=4.0, ceiling_burst=16.0, ceiling_slack=2.0)
 SMALL_CEILING_PLAN = Plan(
@@ -17,17 +17,21 @@
 )
 
 
-def send_first_request_of_process(age: float, others: float) -> tuple[Play, bool]:
+def send_first_request_of_process(age: float, others: float) -> tuple[GatewayHarness, bool]:
     """Send a first request of 4 units to a process started `age` seconds ago; return whether it is sent on.
 
     The counter replies that other gateways have used `others` units.  The gateway is returned too.
     """
-    play = Play(replace(COUNTING, plans=(CEILING_PLAN,), max_request_units=4))
-    play.gateway.counter.sampling.rate = 1.0
-    play.gateway.process.started_at = play.now - age
-    play.ask(units=4.0)
-    call = counter_calls(play)[-1]
-    return play, bool(sends(play.at(0.001, CounterReply(call.name, Outcome.OK, call.add + others, 0.001))))
+    harness = GatewayHarness(replace(COUNTER_SETTINGS, plans=(CEILING_PLAN,), max_request_units=4))
+    harness.gateway.counter.sampling.rate = 1.0
+    harness.gateway.process_start.started_at = harness.now - age
+    harness.deliver_request(units=4.0)
+    call = list_counter_calls(harness)[-1]
+    return harness, bool(
+        find_sent_attempts(
+            harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, call.add + others, 0.001))
+        )
+    )
 
 
 @pytest.mark.parametrize(
@@ -44,9 +48,9 @@
 
 
 def test_lost_count_leaves_no_more_than_the_reserve() -> None:
-    play, is_sent = send_first_request_of_process(60.0, 0.0)
+    harness, is_sent = send_first_request_of_process(60.0, 0.0)
     assert is_sent
-    customer = customer_of(play)
+    customer = get_customer(harness)
     count = customer.counted_use
     use = CeilingUse(
         count.name,
@@ -55,18 +59,18 @@
         peer_units_increase=-count.peer_units,
         own_units=4.0,
     )
-    customer.ceiling.update_from_count(play.now, use, count_was_lost=False)
+    customer.ceiling.update_from_count(harness.now, use, count_was_lost=False)
     assert customer.ceiling.fleet_bucket.level > 8.0
-    customer.ceiling.update_from_count(play.now, use, count_was_lost=True)
+    customer.ceiling.update_from_count(harness.now, use, count_was_lost=True)
     assert customer.ceiling.fleet_bucket.level <= customer.ceiling.reserve - 4.0
 
 
 def test_complete_ceiling_is_used_only_when_a_total_has_just_arrived() -> None:
-    play, _ = send_first_request_of_process(60.0, 0.0)
-    customer = customer_of(play)
+    harness, _ = send_first_request_of_process(60.0, 0.0)
+    customer = get_customer(harness)
     customer.ceiling.slice.level = 0.0
-    assert customer.under_ceiling(play.now, 4.0)
-    assert not customer.under_ceiling(play.now + 0.01, 4.0)
+    assert customer.is_under_ceiling(harness.now, 4.0)
+    assert not customer.is_under_ceiling(harness.now + 0.01, 4.0)
 
 
 def test_restarts_of_all_gateways_keep_the_ceiling_when_the_quota_was_used() -> None:
@@ -74,41 +78,41 @@
     plan = replace(CEILING_PLAN, rate=0.5, burst=8.0, ceiling_rate=1.0, ceiling_burst=16.0)
     level, updated_at = plan.ceiling_burst, 100.0
     for restart in range(4):
-        plays = [Play(replace(SETTINGS, plans=(plan,), instance_index=n)) for n in range(2)]
-        for play in plays:
-            play.now = 100.0 + 3.0 * restart
-            play.gateway.process.started_at = play.now
+        harnesses = [GatewayHarness(replace(SETTINGS, plans=(plan,), instance_index=n)) for n in range(2)]
+        for harness in harnesses:
+            harness.now = 100.0 + 3.0 * restart
+            harness.gateway.process_start.started_at = harness.now
         for step in range(60):
-            for play in plays:
-                sent_count = spend(play, 1)
-                refilled = level + plan.ceiling_rate * (play.now - updated_at)
+            for harness in harnesses:
+                sent_count = deliver_requests(harness, 1)
+                refilled = level + plan.ceiling_rate * (harness.now - updated_at)
                 level = min(plan.ceiling_burst, refilled) - sent_count
-                updated_at = play.now
-                play.now = 100.0 + 3.0 * restart + 0.05 * (step + 1)
+                updated_at = harness.now
+                harness.now = 100.0 + 3.0 * restart + 0.05 * (step + 1)
             assert level > -plan.ceiling_slack
 
 
 def test_new_process_starts_with_an_empty_ceiling_and_never_exceeds_it() -> None:
-    play = Play(replace(SETTINGS, plans=(SMALL_CEILING_PLAN,)))
+    harness = GatewayHarness(replace(SETTINGS, plans=(SMALL_CEILING_PLAN,)))
     sent_count = 0
     for _ in range(200):
-        sent_attempts = sends(play.ask(0.02))
+        sent_attempts = find_sent_attempts(harness.deliver_request(0.02))
         sent_count += len(sent_attempts)
         for sent in sent_attempts:
-            play.end(sent, Outcome.OK, 0.001)
-    assert sent_count <= SMALL_CEILING_PLAN.ceiling_rate / 2 * (play.now - 100.0)
+            harness.end_attempt(sent, Outcome.OK, 0.001)
+    assert sent_count <= SMALL_CEILING_PLAN.ceiling_rate / 2 * (harness.now - 100.0)
 
 
 def test_resizing_or_evicting_a_customer_does_not_refill_its_ceiling() -> None:
     slow = replace(SMALL_CEILING_PLAN, rate=100.0, burst=100.0, ceiling_rate=0.02, ceiling_burst=8.0)
-    play = Play(replace(SETTINGS, plans=(slow,)))
-    play.now += 10000.0
+    harness = GatewayHarness(replace(SETTINGS, plans=(slow,)))
+    harness.now += 10000.0
     sent_count = 0
     for n in range(300):
         if n % 20 == 0:
-            play.at(65.0 if n == 100 else 0.0, TimerFired(0))
-        sent_attempts = sends(play.ask(0.0, assigned_instances=2 + n % 2))
+            harness.deliver_event(65.0 if n == 100 else 0.0, TimerFired(0))
+        sent_attempts = find_sent_attempts(harness.deliver_request(0.0, assigned_instances=2 + n % 2))
         sent_count += len(sent_attempts)
         for sent in sent_attempts:
-            play.end(sent, Outcome.OK, 0.001)
+            harness.end_attempt(sent, Outcome.OK, 0.001)
     assert sent_count <= 8.0 / 2 + 0.02 * 100
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -6,56 +6,59 @@
 
 from ingress.decisions.concurrency_limit import BUSY_LATENCY_SHARE, DECREASE_FACTOR, ConcurrencyLimit
 from ingress.interface import Outcome
-from tests.support.balancer import UNLIMITED, answer_all
-from tests.support.gateway import FLEET, Play, sends
+from tests.support.balancer import UNLIMITED_SETTINGS, count_requests_by_backend
+from tests.support.gateway import BACKENDS, GatewayHarness, find_sent_attempts
 
 
 def test_new_gateway_sends_few_attempts_until_backends_answer() -> None:
-    play = Play(UNLIMITED)
+    harness = GatewayHarness(UNLIMITED_SETTINGS)
     for _ in range(100):
-        play.ask(0.0)
-    assert len(sends(play.actions)) <= len(FLEET)
-    for sent in sends(list(play.actions)):
-        play.end(sent, Outcome.OK, 0.01)
-    assert len(sends([a for _ in range(100) for a in play.ask(0.0)])) > len(FLEET) / 2
+        harness.deliver_request(0.0)
+    assert len(find_sent_attempts(harness.actions)) <= len(BACKENDS)
+    for sent in find_sent_attempts(list(harness.actions)):
+        harness.end_attempt(sent, Outcome.OK, 0.01)
+    assert (
+        len(find_sent_attempts([a for _ in range(100) for a in harness.deliver_request(0.0)]))
+        > len(BACKENDS) / 2
+    )
 
 
 def test_limit_decreases_if_no_answers_come() -> None:
-    play = Play(UNLIMITED)
-    answer_all(play, 0.05)
-    for backend in play.gateway.balancer.tracked_backends.values():
+    harness = GatewayHarness(UNLIMITED_SETTINGS)
+    count_requests_by_backend(harness, 0.05)
+    for backend in harness.gateway.balancer.tracked_backends.values():
         backend.set_limit(20.0)
     for _ in range(40):
-        play.ask(0.0)
-    initial_sum = sum(b.limit for b in play.gateway.balancer.tracked_backends.values())
+        harness.deliver_request(0.0)
+    initial_sum = sum(b.limit for b in harness.gateway.balancer.tracked_backends.values())
     for _ in range(20):
-        play.ask(0.5)
-    assert sum(b.limit for b in play.gateway.balancer.tracked_backends.values()) < initial_sum / 2
+        harness.deliver_request(0.5)
+    assert sum(b.limit for b in harness.gateway.balancer.tracked_backends.values()) < initial_sum / 2
 
 
 def test_lost_attempt_does_not_decrease_the_limit_while_others_are_answered() -> None:
-    play = Play(UNLIMITED, FLEET[:1])
-    [backend] = play.gateway.balancer.tracked_backends.values()
-    answer_all(play, 0.05, 30)
-    [lost_attempt] = sends(play.ask())
+    harness = GatewayHarness(UNLIMITED_SETTINGS, BACKENDS[:1])
+    [backend] = harness.gateway.balancer.tracked_backends.values()
+    count_requests_by_backend(harness, 0.05, 30)
+    [lost_attempt] = find_sent_attempts(harness.deliver_request())
     backend.set_limit(10.0)
     for _ in range(20):  # 4 s: longer than any latency objective
-        [sent] = sends(play.ask(0.2))
-        play.end(sent, Outcome.OK, 0.05)
+        [sent] = find_sent_attempts(harness.deliver_request(0.2))
+        harness.end_attempt(sent, Outcome.OK, 0.05)
     assert backend.limit >= 10.0
-    assert play.gateway.overload.shed_share(play.now) < 0
-    play.end(lost_attempt, Outcome.TIMEOUT, 0.0)
+    assert harness.gateway.overload_detector.shed_share(harness.now) < 0
+    harness.end_attempt(lost_attempt, Outcome.TIMEOUT, 0.0)
     assert backend.limit >= 10.0
     assert backend.concurrency_limit.mean_latency_share < BUSY_LATENCY_SHARE
 
 
 def test_timeout_without_any_answer_since_decreases_the_limit() -> None:
-    play = Play(UNLIMITED, FLEET[:1])
-    [backend] = play.gateway.balancer.tracked_backends.values()
-    answer_all(play, 0.05, 30)
-    [lost_attempt] = sends(play.ask())
+    harness = GatewayHarness(UNLIMITED_SETTINGS, BACKENDS[:1])
+    [backend] = harness.gateway.balancer.tracked_backends.values()
+    count_requests_by_backend(harness, 0.05, 30)
+    [lost_attempt] = find_sent_attempts(harness.deliver_request())
     backend.set_limit(10.0)
-    play.end(lost_attempt, Outcome.TIMEOUT, 4.0)
+    harness.end_attempt(lost_attempt, Outcome.TIMEOUT, 4.0)
     assert backend.limit < 10.0
     assert backend.concurrency_limit.mean_latency_share > BUSY_LATENCY_SHARE
 
