--- a/tests/decisions/test_correction_lease.py
+++ b/tests/decisions/test_correction_lease.py
@@ -7,13 +7,19 @@
 import pytest
 
 from ingress.interface import Action, CounterReply, IncrementCounter, Outcome, Settings
-from tests.support.gateway import BASIC, Play, sends
-from tests.support.quota import COUNTING, LARGE_FLEET, count_started_at, customer_of, increments
+from tests.support.gateway import BASIC_PLAN, GatewayHarness, find_sent_attempts
+from tests.support.quota import (
+    COUNTER_SETTINGS,
+    LARGE_FLEET_SETTINGS,
+    find_counter_calls,
+    get_count_start_time,
+    get_customer,
+)
 
 GATEWAYS = 40
-FLEET_SETTINGS = replace(COUNTING, instance_count=GATEWAYS)
+FLEET_SETTINGS = replace(COUNTER_SETTINGS, instance_count=GATEWAYS)
 ONE_WAY_S = 0.005  # latency from a gateway to the counter, or back
-COUNT_STARTED_AT = count_started_at(4)
+COUNT_STARTED_AT = get_count_start_time(4)
 
 
 @dataclass
@@ -49,7 +55,7 @@
 
     arrives_at: float
     """Time in seconds when it arrives at the counter."""
-    play: Play
+    harness: GatewayHarness
     """The gateway that sent the call."""
     call: IncrementCounter
 
@@ -60,28 +66,29 @@
     def __init__(self, settings: Settings = FLEET_SETTINGS, start: float = COUNT_STARTED_AT) -> None:
         self.now = start
         self.counter = SharedCounter()
-        self.plays = [
-            Play(replace(settings, instance_index=index)) for index in range(settings.instance_count)
+        self.harnesses = [
+            GatewayHarness(replace(settings, instance_index=index))
+            for index in range(settings.instance_count)
         ]
         self.in_flight: list[CallInFlight] = []
         self.count_name = 0  # name of the customer's count
         self.sent_count = 0  # number of attempts sent
-        for play in self.plays:
-            play.now = start
-            play.gateway.counter.sampling.rate = 1.0
+        for harness in self.harnesses:
+            harness.now = start
+            harness.gateway.counter.sampling.rate = 1.0
 
     def ask(self, index: int, units: float = 1.0) -> None:
-        play = self.plays[index]
-        play.now = max(play.now, self.now)
-        self._process_actions(play, play.ask(units=units, assigned_instances=GATEWAYS))
+        harness = self.harnesses[index]
+        harness.now = max(harness.now, self.now)
+        self._process_actions(harness, harness.deliver_request(units=units, assigned_instances=GATEWAYS))
 
-    def _process_actions(self, play: Play, actions: list[Action]) -> None:
-        for send in sends(actions):
+    def _process_actions(self, harness: GatewayHarness, actions: list[Action]) -> None:
+        for send in find_sent_attempts(actions):
             self.sent_count += 1
-            play.end(send, after=0.0)
-        for call in increments(actions):
+            harness.end_attempt(send, delay_s=0.0)
+        for call in find_counter_calls(actions):
             self.count_name = call.name if call.lifetime > 30.0 else self.count_name
-            self.in_flight.append(CallInFlight(self.now + ONE_WAY_S, play, call))
+            self.in_flight.append(CallInFlight(self.now + ONE_WAY_S, harness, call))
 
     def deliver_calls(self) -> None:
         """Execute calls and deliver their replies until no call is in flight."""
@@ -90,21 +97,26 @@
             next_call = self.in_flight.pop(0)
             self.now = max(self.now, next_call.arrives_at)
             total = self.counter.add(self.now, next_call.call)
-            play = next_call.play
-            play.now = max(play.now, self.now + ONE_WAY_S)
+            harness = next_call.harness
+            harness.now = max(harness.now, self.now + ONE_WAY_S)
             reply = CounterReply(next_call.call.name, Outcome.OK, total, 2 * ONE_WAY_S)
-            self._process_actions(play, play.at(0.0, reply))
+            self._process_actions(harness, harness.deliver_event(0.0, reply))
 
 
 def fleet_quota_level(fleet: FleetWithCounter) -> float:
     """Return the units left of the customer's quota by its count and the unreported use of all gateways."""
     reported_units = fleet.counter.total(fleet.count_name)
     unreported_units = sum(
-        customer_of(play).counted_use.unreported_units
-        for play in fleet.plays
-        if "c" in play.gateway.admission.customers_by_key
+        get_customer(harness).counted_use.unreported_units
+        for harness in fleet.harnesses
+        if "c" in harness.gateway.admission.customers_by_key
+    )
+    return (
+        BASIC_PLAN.burst
+        + BASIC_PLAN.rate * (fleet.now - COUNT_STARTED_AT)
+        - reported_units
+        - unreported_units
     )
-    return BASIC.burst + BASIC.rate * (fleet.now - COUNT_STARTED_AT) - reported_units - unreported_units
 
 
 @pytest.mark.parametrize("asking", [1, 5, GATEWAYS])
@@ -114,8 +126,8 @@
     for index in range(asking):
         fleet.ask(index)
     fleet.deliver_calls()
-    assert fleet.sent_count >= min(asking, BASIC.burst)
-    assert fleet_quota_level(fleet) == pytest.approx(BASIC.burst - fleet.sent_count, abs=0.5)
+    assert fleet.sent_count >= min(asking, BASIC_PLAN.burst)
+    assert fleet_quota_level(fleet) == pytest.approx(BASIC_PLAN.burst - fleet.sent_count, abs=0.5)
 
 
 def test_debt_is_corrected_once_however_many_gateways_see_it() -> None:
@@ -154,50 +166,52 @@
     [CounterReply(0, Outcome.OK, 2.0), CounterReply(0, Outcome.TIMEOUT), CounterReply(0, Outcome.REJECTED)],
 )
 def test_count_is_not_corrected_without_a_granted_lease(reply: CounterReply) -> None:
-    play = Play(FLEET_SETTINGS)
-    play.now = COUNT_STARTED_AT + 20.0
-    play.gateway.counter.sampling.rate = 1.0
-    [call] = increments(play.ask(assigned_instances=GATEWAYS))
-    answer = play.at(ONE_WAY_S, CounterReply(call.name, Outcome.OK, 1.0))
-    [lease] = increments(answer)
+    harness = GatewayHarness(FLEET_SETTINGS)
+    harness.now = COUNT_STARTED_AT + 20.0
+    harness.gateway.counter.sampling.rate = 1.0
+    [call] = find_counter_calls(harness.deliver_request(assigned_instances=GATEWAYS))
+    answer = harness.deliver_event(ONE_WAY_S, CounterReply(call.name, Outcome.OK, 1.0))
+    [lease] = find_counter_calls(answer)
     assert lease.name != call.name
     assert lease.add == 1.0
     assert lease.lifetime == pytest.approx(10 * FLEET_SETTINGS.counter_timeout)
-    assert play.at(ONE_WAY_S, replace(reply, name=lease.name)) == []
-    assert customer_of(play).counted_use.unreported_units == 0.0
+    assert harness.deliver_event(ONE_WAY_S, replace(reply, name=lease.name)) == []
+    assert get_customer(harness).counted_use.unreported_units == 0.0
 
 
 def test_lease_for_an_earlier_count_corrects_nothing() -> None:
-    play = Play(FLEET_SETTINGS)
-    play.now = COUNT_STARTED_AT + 29.9
-    play.gateway.counter.sampling.rate = 1.0
-    [call] = increments(play.ask(assigned_instances=GATEWAYS))
-    [lease] = increments(play.at(ONE_WAY_S, CounterReply(call.name, Outcome.OK, 1.0)))
-    assert not play.at(0.2, CounterReply(lease.name, Outcome.OK, 1.0))  # the next epoch has begun
+    harness = GatewayHarness(FLEET_SETTINGS)
+    harness.now = COUNT_STARTED_AT + 29.9
+    harness.gateway.counter.sampling.rate = 1.0
+    [call] = find_counter_calls(harness.deliver_request(assigned_instances=GATEWAYS))
+    [lease] = find_counter_calls(harness.deliver_event(ONE_WAY_S, CounterReply(call.name, Outcome.OK, 1.0)))
+    assert not harness.deliver_event(
+        0.2, CounterReply(lease.name, Outcome.OK, 1.0)
+    )  # the next epoch has begun
 
 
-def ask_for_corrections(play: Play, total: float) -> list[float]:
+def ask_for_corrections(harness: GatewayHarness, total: float) -> list[float]:
     """Send a request, grant all leases, and return the units that are added as corrections."""
-    play.ask(assigned_instances=100)
-    call = increments(play.actions)[-1]
-    answer = play.at(0.001, CounterReply(call.name, Outcome.OK, total, 0.001))
+    harness.deliver_request(assigned_instances=100)
+    call = find_counter_calls(harness.actions)[-1]
+    answer = harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, total, 0.001))
     added = [a.add for a in answer if isinstance(a, IncrementCounter) and a.name == call.name]
     for lease in [a for a in answer if isinstance(a, IncrementCounter) and a.name != call.name]:
-        granted = play.at(0.001, CounterReply(lease.name, Outcome.OK, 1.0, 0.001))
+        granted = harness.deliver_event(0.001, CounterReply(lease.name, Outcome.OK, 1.0, 0.001))
         added += [a.add for a in granted if isinstance(a, IncrementCounter)]
-    for name in list(play.gateway.counter.calls.in_flight):
-        play.at(0.001, CounterReply(name, Outcome.OK, total + sum(added), 0.001))
+    for name in list(harness.gateway.counter.calls.in_flight):
+        harness.deliver_event(0.001, CounterReply(name, Outcome.OK, total + sum(added), 0.001))
     return added
 
 
 def test_count_outside_its_range_is_corrected() -> None:
     """Credit is corrected at once; debt must last, because other gateways may soon take units back."""
-    play = Play(LARGE_FLEET)
-    play.gateway.counter.sampling.rate = 1.0
-    play.now = count_started_at(3)
-    assert ask_for_corrections(play, -40.0) == [pytest.approx(40.0, abs=1.1)]
-    play.now += 0.2
-    assert ask_for_corrections(play, 30.0) == []
-    play.now += 20 * LARGE_FLEET.counter_timeout
+    harness = GatewayHarness(LARGE_FLEET_SETTINGS)
+    harness.gateway.counter.sampling.rate = 1.0
+    harness.now = get_count_start_time(3)
+    assert ask_for_corrections(harness, -40.0) == [pytest.approx(40.0, abs=1.1)]
+    harness.now += 0.2
+    assert ask_for_corrections(harness, 30.0) == []
+    harness.now += 20 * LARGE_FLEET_SETTINGS.counter_timeout
     # The correction leaves an empty quota.
-    assert sum(ask_for_corrections(play, 30.0)) == pytest.approx(-20.0, abs=4.6)
+    assert sum(ask_for_corrections(harness, 30.0)) == pytest.approx(-20.0, abs=4.6)
--- a/tests/decisions/test_fallback.py
+++ b/tests/decisions/test_fallback.py
@@ -22,50 +22,57 @@
     Request,
     SendAttempt,
 )
-from tests.support.balancer import MANY_GATEWAYS, UNLIMITED, answer_rounds, backends
-from tests.support.gateway import Play, sends
+from tests.support.balancer import (
+    MANY_GATEWAYS_SETTINGS,
+    UNLIMITED_SETTINGS,
+    list_answering_backends,
+    make_backends,
+)
+from tests.support.gateway import GatewayHarness, find_sent_attempts
 
 
 def test_other_backends_are_used_if_the_subset_is_ejected() -> None:
-    play = Play(replace(UNLIMITED, instance_count=20), (Backend(f"b{n}") for n in range(40)))
-    subset = list(play.gateway.balancer.subset)
+    harness = GatewayHarness(
+        replace(UNLIMITED_SETTINGS, instance_count=20), (Backend(f"b{n}") for n in range(40))
+    )
+    subset = list(harness.gateway.balancer.subset)
     for backend in subset:
-        backend.record_failure(play.now, Outcome.CONNECT_FAILED, 60.0)
-        backend.attempts_in_flight["other", 0] = play.now  # the one attempt that may probe it
-    sent = sends(play.ask(0.01))
+        backend.record_failure(harness.now, Outcome.CONNECT_FAILED, 60.0)
+        backend.attempts_in_flight["other", 0] = harness.now  # the one attempt that may probe it
+    sent = find_sent_attempts(harness.deliver_request(0.01))
     assert sent
-    assert sent[0].backend not in {b.info.id for b in subset}
+    assert sent[0].backend not in {b.entry.id for b in subset}
 
 
 @pytest.mark.parametrize("count", [60, 300, 3000])
 def test_requests_are_served_by_others_if_the_whole_subset_is_down(count: int) -> None:
-    play = Play(MANY_GATEWAYS, backends(count))
-    assert len(answer_rounds(play, lambda name: False, 60)) == 60
-    lost_ids = {b.info.id for b in play.gateway.balancer.subset}
-    play.gateway.retry_policy.budget.level = 10.0
-    answered = answer_rounds(play, lost_ids.__contains__, 100)
+    harness = GatewayHarness(MANY_GATEWAYS_SETTINGS, make_backends(count))
+    assert len(list_answering_backends(harness, lambda name: False, 60)) == 60
+    lost_ids = {b.entry.id for b in harness.gateway.balancer.subset}
+    harness.gateway.retry_policy.budget.level = 10.0
+    answered = list_answering_backends(harness, lost_ids.__contains__, 100)
     assert len(answered) >= 98  # only the first requests may run out of attempts
     assert len(set(answered)) > 10
 
 
 def test_requests_are_served_by_others_if_subset_and_reserve_are_down() -> None:
-    play = Play(replace(MANY_GATEWAYS, max_attempts=30), backends(3000))
-    answer_rounds(play, lambda name: False, 60)
-    lost_ids = {b.info.id for b in play.gateway.balancer.candidates}
-    assert len(lost_ids) == len(play.gateway.balancer.subset) + RESERVE_SIZE
-    for backend in play.gateway.balancer.candidates:
-        backend.record_failure(play.now, Outcome.CONNECT_FAILED, 60.0)
-    answered = answer_rounds(play, lost_ids.__contains__, 60)
+    harness = GatewayHarness(replace(MANY_GATEWAYS_SETTINGS, max_attempts=30), make_backends(3000))
+    list_answering_backends(harness, lambda name: False, 60)
+    lost_ids = {b.entry.id for b in harness.gateway.balancer.candidates}
+    assert len(lost_ids) == len(harness.gateway.balancer.subset) + RESERVE_SIZE
+    for backend in harness.gateway.balancer.candidates:
+        backend.record_failure(harness.now, Outcome.CONNECT_FAILED, 60.0)
+    answered = list_answering_backends(harness, lost_ids.__contains__, 60)
     assert len(answered) == 60
     # Backends that are not candidates are no longer tracked after their attempts have ended.
-    assert len(play.gateway.balancer.tracked_backends) == len(lost_ids)
+    assert len(harness.gateway.balancer.tracked_backends) == len(lost_ids)
 
 
 @pytest.mark.parametrize("count", [60, 300, 3000])
 def test_requests_are_served_by_other_zones_if_one_zone_is_down(count: int) -> None:
-    play = Play(MANY_GATEWAYS, backends(count))
-    answer_rounds(play, lambda name: False, 60)
-    answered = answer_rounds(play, lambda name: int(name[1:]) % 3 == 0, 200)
+    harness = GatewayHarness(MANY_GATEWAYS_SETTINGS, make_backends(count))
+    list_answering_backends(harness, lambda name: False, 60)
+    answered = list_answering_backends(harness, lambda name: int(name[1:]) % 3 == 0, 200)
     assert len(answered) >= 198
     assert {int(name[1:]) % 3 for name in answered} == {1, 2}
 
@@ -85,9 +92,9 @@
     def __init__(self, gateway_count: int, backend_count: int, requests_per_s: float, seed: int) -> None:
         self.rng = Random(seed)
         self.requests_per_s = requests_per_s
-        self.gateway = Gateway(replace(MANY_GATEWAYS, instance_count=gateway_count), seed)
+        self.gateway = Gateway(replace(MANY_GATEWAYS_SETTINGS, instance_count=gateway_count), seed)
         self.gateway.handle(
-            self.START_S, EndpointUpdate(EndpointUpdateKind.RESTORED, backends(backend_count))
+            self.START_S, EndpointUpdate(EndpointUpdateKind.RESTORED, make_backends(backend_count))
         )
         self.events: list[tuple[float, int, Event]] = []
         self.sequence_numbers = count_from(0)
@@ -107,7 +114,7 @@
             if at >= self.SILENT_FROM_S and not silent_ids:
                 silent_ids = select_silent(self.gateway)
             self._count_event(at, event)
-            for sent in sends(self.gateway.handle(at, event)):
+            for sent in find_sent_attempts(self.gateway.handle(at, event)):
                 self._schedule_answer(at, sent, silent_ids if at >= self.SILENT_FROM_S else set())
         return self.answered_count / self.request_count
 
@@ -141,7 +148,7 @@
 
 
 def select_subset(gateway: Gateway) -> set[str]:
-    return {backend.info.id for backend in gateway.balancer.subset}
+    return {backend.entry.id for backend in gateway.balancer.subset}
 
 
 def select_zone_a(gateway: Gateway) -> set[str]:
@@ -173,18 +180,20 @@
 
 
 def test_overload_sends_one_exploratory_attempt_at_a_time_to_the_reserve() -> None:
-    play = Play(replace(MANY_GATEWAYS, instance_count=300), backends(80))
-    play.ask()
-    play.gateway.overload.mean_in_flight_weight = 1e3
-    assert len(sends(play.ask())) == 1
+    harness = GatewayHarness(replace(MANY_GATEWAYS_SETTINGS, instance_count=300), make_backends(80))
+    harness.deliver_request()
+    harness.gateway.overload_detector.mean_in_flight_weight = 1e3
+    assert len(find_sent_attempts(harness.deliver_request())) == 1
     [exploratory] = [
         attempt
-        for key, attempt in play.gateway.attempts.in_flight.items()
-        if key == play.gateway.overload.exploratory_attempt
+        for key, attempt in harness.gateway.attempt_tracker.in_flight.items()
+        if key == harness.gateway.overload_detector.exploratory_attempt
     ]
-    backend = exploratory.sent.backend
-    assert backend not in play.gateway.balancer.subset
+    backend = exploratory.sent_attempt.backend
+    assert backend not in harness.gateway.balancer.subset
     # Until the exploratory attempt is answered, the overload may extend beyond the subset.
-    assert not any(sends(play.ask(0.01)) for _ in range(10))
-    play.at(0.0, AttemptEnded(exploratory.request.id, 0, backend.info.id, Outcome.OK, 0.1, True))
-    assert sends(play.ask(0.01))
+    assert not any(find_sent_attempts(harness.deliver_request(0.01)) for _ in range(10))
+    harness.deliver_event(
+        0.0, AttemptEnded(exploratory.request.id, 0, backend.entry.id, Outcome.OK, 0.1, True)
+    )
+    assert find_sent_attempts(harness.deliver_request(0.01))
--- a/tests/decisions/test_module.py
+++ b/tests/decisions/test_module.py
@@ -8,7 +8,7 @@
 
 import pytest
 
-from tests.support.imports import DECISIONS_STANDARD_LIBRARY
+from tests.support.imports import DECISIONS_STDLIB_MODULES
 from tests.support.paths import ROOT
 
 SOURCE_FILES = sorted((ROOT / "ingress" / "decisions").glob("*.py"))
@@ -42,4 +42,4 @@
             imported_modules.add(node.module or "")
     outside_modules = {name for name in imported_modules if not name.startswith("ingress.decisions.")}
     allowed_project_modules = {"ingress.interface", "ingress.decisions", "ingress.gossip_codec"}
-    assert outside_modules <= DECISIONS_STANDARD_LIBRARY | allowed_project_modules
+    assert outside_modules <= DECISIONS_STDLIB_MODULES | allowed_project_modules
--- a/tests/decisions/test_outlier_ejection.py
+++ b/tests/decisions/test_outlier_ejection.py
@@ -8,11 +8,11 @@
 from ingress.decisions.concurrency_limit import BUSY_LATENCY_SHARE
 from ingress.decisions.outlier_ejection import FAILURES_TO_EJECT, OutlierEjection
 from ingress.interface import Outcome
-from tests.support.gateway import FLEET
+from tests.support.gateway import BACKENDS
 
 
 def test_single_error_does_not_eject_a_backend() -> None:
-    backend = TrackedBackend(FLEET[0], 100.0)
+    backend = TrackedBackend(BACKENDS[0], 100.0)
     backend.record_failure(100.0, Outcome.ERROR, 1.0)
     assert not backend.is_ejected(100.0)
     backend.record_failure(100.0, Outcome.CONNECT_FAILED, 1.0)
@@ -21,7 +21,7 @@
 
 
 def test_single_rejection_does_not_eject_a_quick_backend() -> None:
-    backend = TrackedBackend(FLEET[0], 0.0)
+    backend = TrackedBackend(BACKENDS[0], 0.0)
     backend.concurrency_limit.mean_latency_share = BUSY_LATENCY_SHARE / 2
     backend.set_limit(8.0)
     backend.record_failure(1.0, Outcome.REJECTED, 1.0)
@@ -39,7 +39,7 @@
     A backend that drains before the endpoint list says so rejects at once and therefore looks idle.  Such a
     backend has received a third of all attempts.
     """
-    backend = TrackedBackend(FLEET[0], 0.0)
+    backend = TrackedBackend(BACKENDS[0], 0.0)
     backend.concurrency_limit.mean_latency_share = BUSY_LATENCY_SHARE / 2
     pauses: list[float] = []
     now = 0.0
--- a/tests/decisions/test_peer_reports.py
+++ b/tests/decisions/test_peer_reports.py
@@ -4,14 +4,14 @@
 
 from ingress.decisions.peer_reports import PeerReports
 from ingress.interface import GossipReceived
-from tests.support.gateway import Play
-from tests.support.quota import GOSSIPING, customer_of, spend
+from tests.support.gateway import GatewayHarness
+from tests.support.quota import GOSSIP_SETTINGS, deliver_requests, get_customer
 
 
 def test_repeated_report_or_report_of_an_ended_process_adds_no_use() -> None:
-    play = Play(GOSSIPING)
-    spend(play, 1)
-    peers, key = play.gateway.peers, customer_of(play).hash
+    harness = GatewayHarness(GOSSIP_SETTINGS)
+    deliver_requests(harness, 1)
+    peers, key = harness.gateway.peer_reports, get_customer(harness).hash
     # This use is from before this process began.
     assert peers.read_report(GossipReceived(1, f"5 {key:x}:10"), 100.0, 6) == []
     assert peers.read_report(GossipReceived(1, f"5 {key:x}:30"), 100.0, 6) == [(key, 2.0)]
@@ -21,7 +21,7 @@
 
 
 def test_first_total_of_an_older_peer_is_only_a_baseline() -> None:
-    peers = Play(GOSSIPING).gateway.peers
+    peers = GatewayHarness(GOSSIP_SETTINGS).gateway.peer_reports
     assert peers.read_report(GossipReceived(1, "5 a:10"), 100.0, 9) == []
     # The first total of another customer comes in a later message.
     assert peers.read_report(GossipReceived(1, "5 b:9000"), 100.0, 9) == []
--- a/tests/decisions/test_request.py
+++ b/tests/decisions/test_request.py
@@ -10,14 +10,14 @@
 from ingress.decisions.request import PendingRequest, SentAttempt
 from ingress.interface import DeduplicationScope, Idempotency, Outcome, RequestClass
 from tests.support.gateway import (
-    FLEET,
-    IDEMPOTENT,
-    KEYED,
-    NOT_IDEMPOTENT,
+    BACKENDS,
+    IDEMPOTENT_CLASS,
+    KEYED_CLASS,
+    NOT_IDEMPOTENT_CLASS,
     SETTINGS,
-    Play,
-    scoped,
-    sends,
+    GatewayHarness,
+    find_sent_attempts,
+    make_keyed_class,
 )
 
 OUTCOMES = tuple(Outcome)
@@ -28,11 +28,11 @@
 
     The attempt has ended with `outcome`, or is in flight for None.
     """
-    play = Play(replace(SETTINGS, classes=(request_class,)))
-    sent = sends(play.ask(request_class=request_class.name))[0]
-    request = play.gateway.requests["r1"]
-    attempt = SentAttempt(TrackedBackend(FLEET[0], play.now), play.now)
-    request.attempts.sent = [attempt]
+    harness = GatewayHarness(replace(SETTINGS, classes=(request_class,)))
+    sent = find_sent_attempts(harness.deliver_request(request_class=request_class.name))[0]
+    request = harness.gateway.requests["r1"]
+    attempt = SentAttempt(TrackedBackend(BACKENDS[0], harness.now), harness.now)
+    request.attempts.sent_attempts = [attempt]
     request.attempts.possibly_executed = (
         [] if outcome is not None and outcome.proves_not_executed else [attempt]
     )
@@ -46,11 +46,11 @@
 @pytest.mark.parametrize(
     "request_class",
     [
-        IDEMPOTENT,
-        scoped(DeduplicationScope.ALL),
-        scoped(DeduplicationScope.ZONE),
-        scoped(DeduplicationScope.CELL),
-        NOT_IDEMPOTENT,
+        IDEMPOTENT_CLASS,
+        make_keyed_class(DeduplicationScope.ALL),
+        make_keyed_class(DeduplicationScope.ZONE),
+        make_keyed_class(DeduplicationScope.CELL),
+        NOT_IDEMPOTENT_CLASS,
     ],
     ids=["safe", "all", "zone", "cell", "unsafe"],
 )
@@ -60,8 +60,8 @@
     request = request_after_first_attempt(request_class, outcome)
     is_proven_not_executed = outcome is not None and outcome.proves_not_executed
     settings = replace(SETTINGS, hedging=True)
-    allowed_ids = {b.id for b in FLEET if request.may_send(TrackedBackend(b, 100.0), 100.5, settings)}
-    all_ids = {b.id for b in FLEET}
+    allowed_ids = {b.id for b in BACKENDS if request.may_send(TrackedBackend(b, 100.0), 100.5, settings)}
+    all_ids = {b.id for b in BACKENDS}
     if is_proven_not_executed or request_class.idempotency is Idempotency.IDEMPOTENT:
         expected_ids = all_ids
     elif request_class.idempotency is Idempotency.NOT_IDEMPOTENT:
@@ -79,32 +79,32 @@
 
 
 def test_keyed_request_is_not_retried_after_its_deduplication_window() -> None:
-    request = request_after_first_attempt(KEYED, Outcome.TIMEOUT)
-    backend = TrackedBackend(FLEET[0], 100.0)
-    assert request.may_send(backend, 100.0 + KEYED.deduplication_window - 0.1, SETTINGS)
-    assert not request.may_send(backend, 100.0 + KEYED.deduplication_window, SETTINGS)
+    request = request_after_first_attempt(KEYED_CLASS, Outcome.TIMEOUT)
+    backend = TrackedBackend(BACKENDS[0], 100.0)
+    assert request.may_send(backend, 100.0 + KEYED_CLASS.deduplication_window - 0.1, SETTINGS)
+    assert not request.may_send(backend, 100.0 + KEYED_CLASS.deduplication_window, SETTINGS)
 
 
 def test_second_attempt_waits_for_the_end_of_the_first_without_hedging() -> None:
-    assert not request_after_first_attempt(IDEMPOTENT, None).may_send(
-        TrackedBackend(FLEET[1], 100.0), 100.1, SETTINGS
+    assert not request_after_first_attempt(IDEMPOTENT_CLASS, None).may_send(
+        TrackedBackend(BACKENDS[1], 100.0), 100.1, SETTINGS
     )
 
 
 @pytest.mark.parametrize(
-    ("outcome", "left"), [(Outcome.RESET, KEYED.deduplication_window - 0.5), (Outcome.REJECTED, 0.0)]
+    ("outcome", "left"), [(Outcome.RESET, KEYED_CLASS.deduplication_window - 0.5), (Outcome.REJECTED, 0.0)]
 )
 def test_keyed_retry_must_be_written_within_its_deduplication_window(outcome: Outcome, left: float) -> None:
     """A retry sent within the window may wait for a connection until the backends have dropped its key."""
-    play = Play()
-    [sent] = sends(play.ask(request_class="order"))
-    assert sent.write_within == 0.0
-    [retry] = sends(play.end(sent, outcome, 0.5))
-    assert retry.write_within == pytest.approx(left)
+    harness = GatewayHarness()
+    [sent] = find_sent_attempts(harness.deliver_request(request_class="order"))
+    assert sent.max_write_delay == 0.0
+    [retry] = find_sent_attempts(harness.end_attempt(sent, outcome, 0.5))
+    assert retry.max_write_delay == pytest.approx(left)
 
 
 def test_idempotent_retry_may_be_written_at_any_time() -> None:
-    play = Play()
-    [sent] = sends(play.ask())
-    [retry] = sends(play.end(sent, Outcome.RESET, 0.5))
-    assert retry.write_within == 0.0
+    harness = GatewayHarness()
+    [sent] = find_sent_attempts(harness.deliver_request())
+    [retry] = find_sent_attempts(harness.end_attempt(sent, Outcome.RESET, 0.5))
+    assert retry.max_write_delay == 0.0
--- a/tests/decisions/test_request_ranking.py
+++ b/tests/decisions/test_request_ranking.py
@@ -8,13 +8,15 @@
 from ingress.decisions.answer_times import AnswerTimes
 from ingress.decisions.request import PendingRequest
 from ingress.decisions.request_ranking import MAX_RECENT_REQUESTS, RequestRanking
-from tests.support.gateway import IDEMPOTENT, SETTINGS, Play
+from tests.support.gateway import IDEMPOTENT_CLASS, SETTINGS, GatewayHarness
 
 
 def create_request(priority_weight: float) -> PendingRequest:
-    play = Play(replace(SETTINGS, classes=(replace(IDEMPOTENT, priority_weight=priority_weight),)))
-    play.ask()
-    return play.gateway.requests["r1"]
+    harness = GatewayHarness(
+        replace(SETTINGS, classes=(replace(IDEMPOTENT_CLASS, priority_weight=priority_weight),))
+    )
+    harness.deliver_request()
+    return harness.gateway.requests["r1"]
 
 
 def test_rank_is_the_share_of_recent_requests_of_lower_value() -> None:
@@ -39,7 +41,7 @@
 def test_late_request_is_ranked_by_its_late_weight() -> None:
     ranking = RequestRanking(AnswerTimes(SETTINGS), random.Random(1))
     in_time, late = create_request(1.0), create_request(1.0)
-    late.too_late = True
+    late.is_too_late = True
     late.request_class = replace(late.request_class, late_weight_share=0.5)
     for _ in range(20):
         ranking.rank_request(in_time)
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -12,7 +12,14 @@
 from ingress.decisions.request import PendingRequest
 from ingress.decisions.slow_start import MIN_BUDGET_IN_WINDOW, SAFETY_MARGIN, SlowStart
 from ingress.interface import AttemptEnded, Backend, EndpointUpdate, EndpointUpdateKind, Outcome, Request
-from tests.support.gateway import BASIC, FLEET, IDEMPOTENT, SETTINGS, Play, sends
+from tests.support.gateway import (
+    BACKENDS,
+    BASIC_PLAN,
+    IDEMPOTENT_CLASS,
+    SETTINGS,
+    GatewayHarness,
+    find_sent_attempts,
+)
 
 NOW = 100.0
 SINGLE_GATEWAY_SETTINGS = replace(SETTINGS, instance_count=1, slow_start_duration=8.0)
@@ -74,24 +81,28 @@
     assert slow_start.allows(cold, NOW, 1.0)
 
 
-def record_sends_to_cold(play: Play, seconds: float, interval: float) -> list[float]:
+def record_sends_to_cold(harness: GatewayHarness, seconds: float, interval: float) -> list[float]:
     """Send a request every `interval` s; return the times of the attempts at the backend "cold"."""
     send_times = []
     while seconds > 0:
-        for sent in sends(play.ask(interval, customer=f"c{play.count % 200}")):
+        for sent in find_sent_attempts(
+            harness.deliver_request(interval, customer=f"c{harness.request_count % 200}")
+        ):
             if sent.backend == "cold":
-                send_times.append(play.now)
-            play.end(sent, Outcome.OK, 0.001)
+                send_times.append(harness.now)
+            harness.end_attempt(sent, Outcome.OK, 0.001)
         seconds -= interval
     return send_times
 
 
 def test_new_backend_gets_its_initial_share_of_the_load_of_a_warm_one() -> None:
-    play = Play()
-    record_sends_to_cold(play, 30.0, 0.05)
-    warm_rate = 20.0 / len(FLEET)
-    play.at(0.0, EndpointUpdate(EndpointUpdateKind.UPDATE, (Backend("cold", "a", started=play.now),)))
-    first_send_times = record_sends_to_cold(play, SETTINGS.overload_window * 2, 0.05)
+    harness = GatewayHarness()
+    record_sends_to_cold(harness, 30.0, 0.05)
+    warm_rate = 20.0 / len(BACKENDS)
+    harness.deliver_event(
+        0.0, EndpointUpdate(EndpointUpdateKind.UPDATE, (Backend("cold", "a", started=harness.now),))
+    )
+    first_send_times = record_sends_to_cold(harness, SETTINGS.overload_window * 2, 0.05)
     # The initial share of a warm backend's load, plus 0.16 by which it grows during the two windows.
     max_sends = (
         warm_rate
@@ -104,14 +115,17 @@
 
 
 def test_new_gateway_sends_few_requests_while_all_backends_warm_up() -> None:
-    play = Play(fleet=(Backend("cold", "a", started=100.0),))
-    send_times = record_sends_to_cold(play, 6.0, 0.02)
+    harness = GatewayHarness(backends=(Backend("cold", "a", started=100.0),))
+    send_times = record_sends_to_cold(harness, 6.0, 0.02)
     assert 1 <= len(send_times) <= 6 * SETTINGS.overload_factor * SETTINGS.slow_start_initial_share
 
 
 def test_hundreds_of_gateways_do_not_overload_a_new_backend() -> None:
     settings = replace(
-        SETTINGS, instance_count=200, slow_start_duration=10.0, plans=(replace(BASIC, rate=1e4, burst=1e5),)
+        SETTINGS,
+        instance_count=200,
+        slow_start_duration=10.0,
+        plans=(replace(BASIC_PLAN, rate=1e4, burst=1e5),),
     )
     fleet = tuple(Backend(f"b{n}") for n in range(20))
     send_times: list[float] = []
@@ -128,7 +142,7 @@
                 gateway.handle(
                     now, EndpointUpdate(EndpointUpdateKind.UPDATE, (Backend("cold", started=now),))
                 )
-            for sent in sends(gateway.handle(now, Request(f"r{n}", "read", "basic", "c", 4.0))):
+            for sent in find_sent_attempts(gateway.handle(now, Request(f"r{n}", "read", "basic", "c", 4.0))):
                 send_times += [now] if sent.backend == "cold" else []
                 gateway.handle(now + 0.1, AttemptEnded(sent.id, 0, sent.backend, Outcome.OK, 0.1, True))
     first_send_at = min(send_times)
@@ -148,16 +162,18 @@
     fleet = (*(Backend(f"b{n}") for n in range(59)), Backend("cold", started=100.0))
     rates, gateway_counts = [], set[int]()
     for number in range(40):
-        play = Play(replace(settings, instance_index=number), fleet)
-        [cold] = [b for b in play.gateway.balancer.candidates if b.info.id == "cold"]
-        play.ask()
-        play.gateway.balancer.slow_start.answer_rate = 6.0
-        play.gateway.answer_times.mean_request_units = 1.0
-        customer = play.gateway.admission.customers_by_key["c"]
-        request = PendingRequest(Request("r", "read", "basic", "c", 4.0), IDEMPOTENT, customer, play.now)
-        play.gateway.balancer.slow_start_allows(cold, play.now, request)
-        rates += [cold.slow_start_budget.rate] if cold in play.gateway.balancer.subset else []
-        gateway_counts.add(play.gateway.balancer.subsetting.count_gateways_preferring("cold"))
+        harness = GatewayHarness(replace(settings, instance_index=number), fleet)
+        [cold] = [b for b in harness.gateway.balancer.candidates if b.entry.id == "cold"]
+        harness.deliver_request()
+        harness.gateway.balancer.slow_start.answer_rate = 6.0
+        harness.gateway.answer_times.mean_request_units = 1.0
+        customer = harness.gateway.admission.customers_by_key["c"]
+        request = PendingRequest(
+            Request("r", "read", "basic", "c", 4.0), IDEMPOTENT_CLASS, customer, harness.now
+        )
+        harness.gateway.balancer.slow_start_allows(cold, harness.now, request)
+        rates += [cold.slow_start_budget.rate] if cold in harness.gateway.balancer.subset else []
+        gateway_counts.add(harness.gateway.balancer.subsetting.count_gateways_preferring("cold"))
     warm_rate = 40 * 6.0 / 59  # answers per second of each warm backend to all gateways
     assert gateway_counts == {len(rates)}
     assert 4 < len(rates) < 16
@@ -169,10 +185,10 @@
 def test_new_backend_outside_the_subset_gets_no_requests() -> None:
     fleet = (*(Backend(f"b{n}") for n in range(59)), Backend("cold", started=100.0))
     for number in range(12):
-        play = Play(replace(SETTINGS, instance_count=40, instance_index=number), fleet)
-        preferred = "cold" in {b.info.id for b in play.gateway.balancer.subset}
-        [cold] = [b for b in play.gateway.balancer.candidates if b.info.id == "cold"]
+        harness = GatewayHarness(replace(SETTINGS, instance_count=40, instance_index=number), fleet)
+        preferred = "cold" in {b.entry.id for b in harness.gateway.balancer.subset}
+        [cold] = [b for b in harness.gateway.balancer.candidates if b.entry.id == "cold"]
         cold.slow_start_budget.level = 1.0
-        for backend in play.gateway.balancer.candidates:
+        for backend in harness.gateway.balancer.candidates:
             backend.set_limit(0.0 if backend is not cold else 1.0)  # no other backend has room
-        assert bool(sends(play.ask())) is preferred
+        assert bool(find_sent_attempts(harness.deliver_request())) is preferred
--- a/tests/decisions/test_subset.py
+++ b/tests/decisions/test_subset.py
@@ -8,9 +8,9 @@
 import pytest
 
 from ingress.decisions import Gateway, hash_ring
-from ingress.decisions.subset import MIN_HOLDERS, SUBSET_SIZE, Subsetting
+from ingress.decisions.subset import MIN_GATEWAYS_PER_BACKEND, SUBSET_SIZE, Subsetting
 from ingress.interface import Backend, EndpointUpdate, EndpointUpdateKind
-from tests.support.gateway import SETTINGS, Play
+from tests.support.gateway import SETTINGS, GatewayHarness
 
 
 def compute_subsets(gateways: int, names: list[str]) -> list[list[str]]:
@@ -44,7 +44,7 @@
     names = [f"b{n}" for n in range(count)]
     subsets = compute_subsets(gateways, names)
     assert set().union(*subsets) == set(names)
-    assert max(map(len, subsets)) <= max(SUBSET_SIZE, MIN_HOLDERS * count / gateways + 1)
+    assert max(map(len, subsets)) <= max(SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * count / gateways + 1)
 
 
 def test_subsets_cover_all_backends_evenly_and_change_little_with_the_list() -> None:
@@ -54,10 +54,10 @@
     for number in range(100):
         gateway = Gateway(replace(SETTINGS, instance_count=100, instance_index=number), 1)
         gateway.handle(1.0, EndpointUpdate(EndpointUpdateKind.RESTORED, fleet))
-        subset = [b.info.id for b in gateway.balancer.subset]
+        subset = [b.entry.id for b in gateway.balancer.subset]
         assert len(subset) == 12
         gateway.handle(2.0, EndpointUpdate(EndpointUpdateKind.REPLACE, fleet[1:]))
-        added_count += len({b.info.id for b in gateway.balancer.subset} - set(subset))
+        added_count += len({b.entry.id for b in gateway.balancer.subset} - set(subset))
         for name in subset:
             gateway_counts[name] += 1
     assert max(gateway_counts.values()) - min(gateway_counts.values()) <= 6  # the mean is 20
@@ -74,12 +74,17 @@
     gateway_counts = dict.fromkeys((b.id for b in fleet), 0)
     reported_counts: list[dict[str, int]] = []
     for number in range(40):
-        balancer = Play(replace(SETTINGS, instance_count=40, instance_index=number), fleet).gateway.balancer
+        balancer = GatewayHarness(
+            replace(SETTINGS, instance_count=40, instance_index=number), fleet
+        ).gateway.balancer
         reported_counts.append(
-            {b.info.id: balancer.subsetting.count_gateways_preferring(b.info.id) for b in balancer.candidates}
+            {
+                b.entry.id: balancer.subsetting.count_gateways_preferring(b.entry.id)
+                for b in balancer.candidates
+            }
         )
         for backend in balancer.subset:
-            gateway_counts[backend.info.id] += 1
+            gateway_counts[backend.entry.id] += 1
     assert all(counts == gateway_counts for counts in reported_counts)
     assert set(gateway_counts.values()) <= {6, 7, 8, 9, 10}
 
--- a/tests/decisions/test_timers.py
+++ b/tests/decisions/test_timers.py
@@ -6,31 +6,31 @@
 
 from ingress.decisions.timers import DISCOVERY_TOKEN, TICK_TOKEN, gossip_period, report_period, uses_counter
 from ingress.interface import EndpointUpdate, EndpointUpdateKind, SetTimer, SubscribeEndpoints, TimerFired
-from tests.support.gateway import SETTINGS, Play, sends
+from tests.support.gateway import SETTINGS, GatewayHarness, find_sent_attempts
 
 
 def test_failed_discovery_calls_set_only_one_retry_timer() -> None:
-    play = Play(replace(SETTINGS, poll_discovery=True, max_poll_interval=10.0))
-    assert sum(isinstance(a, SubscribeEndpoints) for a in play.actions) == 1
+    harness = GatewayHarness(replace(SETTINGS, poll_discovery=True, max_poll_interval=10.0))
+    assert sum(isinstance(a, SubscribeEndpoints) for a in harness.actions) == 1
     for _ in range(10):
-        play.at(0.01, EndpointUpdate(EndpointUpdateKind.UNAVAILABLE))
-    assert sum(isinstance(a, SetTimer) and a.token == 1 for a in play.actions) == 1
-    play.at(3.0, TimerFired(1))
-    assert sum(isinstance(a, SubscribeEndpoints) for a in play.actions) == 2
-    assert sends(play.ask())  # the gateway still uses the old list
+        harness.deliver_event(0.01, EndpointUpdate(EndpointUpdateKind.UNAVAILABLE))
+    assert sum(isinstance(a, SetTimer) and a.token == 1 for a in harness.actions) == 1
+    harness.deliver_event(3.0, TimerFired(1))
+    assert sum(isinstance(a, SubscribeEndpoints) for a in harness.actions) == 2
+    assert find_sent_attempts(harness.deliver_request())  # the gateway still uses the old list
 
 
 def test_tick_sets_the_next_tick_one_period_later() -> None:
-    play = Play()
-    period = play.gateway.timers.period
-    [first_timer] = [action for action in play.actions if isinstance(action, SetTimer)]
+    harness = GatewayHarness()
+    period = harness.gateway.timers.tick_period
+    [first_timer] = [action for action in harness.actions if isinstance(action, SetTimer)]
     assert first_timer.token == TICK_TOKEN
     assert 0.0 <= first_timer.delay < period
-    assert play.at(first_timer.delay, TimerFired(TICK_TOKEN)) == [SetTimer(period, TICK_TOKEN)]
+    assert harness.deliver_event(first_timer.delay, TimerFired(TICK_TOKEN)) == [SetTimer(period, TICK_TOKEN)]
 
 
 def test_timer_with_an_unknown_token_is_ignored() -> None:
-    assert Play().at(1.0, TimerFired(DISCOVERY_TOKEN + 1)) == []
+    assert GatewayHarness().deliver_event(1.0, TimerFired(DISCOVERY_TOKEN + 1)) == []
 
 
 def test_gossip_takes_up_half_of_the_receive_rate() -> None:
--- a/tests/decisions/test_token_bucket.py
+++ b/tests/decisions/test_token_bucket.py
@@ -9,23 +9,23 @@
 
 def test_bucket_refills_up_to_its_capacity() -> None:
     bucket = TokenBucket(rate=2.0, capacity=8.0, level=1.0, updated_at=10.0)
-    assert bucket.fits(11.0, 3.0)
-    assert not bucket.fits(11.0, 3.1)
+    assert bucket.has_units(11.0, 3.0)
+    assert not bucket.has_units(11.0, 3.1)
     bucket.refill(100.0)
     assert bucket.level == 8.0
 
 
 def test_bucket_may_fill_beyond_its_capacity_for_a_large_request() -> None:
     bucket = TokenBucket(rate=2.0, capacity=8.0, level=8.0, updated_at=0.0)
-    assert not bucket.fits(1.0, 10.0)
-    assert bucket.fits(2.0, 10.0, capacity=10.0)
+    assert not bucket.has_units(1.0, 10.0)
+    assert bucket.has_units(2.0, 10.0, capacity=10.0)
     assert bucket.level == 10.0
 
 
 def test_level_stays_above_the_floor_when_taking_and_below_the_capacity_when_refunding() -> None:
     bucket = TokenBucket(rate=0.0, capacity=8.0, level=3.0, updated_at=0.0)
-    assert bucket.take(5.0, floor=0.0) == 3.0
-    assert bucket.take(5.0) == 5.0
+    assert bucket.take_units(5.0, floor=0.0) == 3.0
+    assert bucket.take_units(5.0) == 5.0
     assert bucket.level == -5.0
     bucket.refund_units(100.0)
     assert bucket.level == 8.0
--- a/tests/discovery/test_backoff.py
+++ b/tests/discovery/test_backoff.py
@@ -38,8 +38,8 @@
 )
 from ingress.discovery.watch import EndpointWatch
 from ingress.interface import EndpointUpdateKind
-from tests.support.discovery import LOCAL_ADDRESS, list_body, running_watch
-from tests.support.peers import entry, run
+from tests.support.discovery import LOCAL_ADDRESS, encode_endpoint_list, running_watch
+from tests.support.peers import make_endpoint_entry, run_async_test
 
 SEED_COUNT = 300
 HELD_VERSION = 41
@@ -84,7 +84,7 @@
             await self._lose_call(timeout_s)
         assert self.service_time_s < timeout_s
         await self.sleep(self.service_time_s)
-        return list_body(CHANGED_VERSION, not query, entry(LOCAL_ADDRESS))
+        return encode_endpoint_list(CHANGED_VERSION, not query, make_endpoint_entry(LOCAL_ADDRESS))
 
     async def _fail_call(self, timeout_s: float) -> bytes:
         if self.failure == "rejected":
@@ -134,7 +134,7 @@
         ]
         assert max(delays) <= MAX_CHANGE_DELAY_S
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("is_pushed", [True, False])
@@ -147,7 +147,7 @@
         ]
         assert max(delays) <= MAX_CHANGE_DELAY_S
 
-    run(body())
+    run_async_test(body())
 
 
 def test_longest_delays_and_calls_fit_into_the_notification_time() -> None:
@@ -177,7 +177,7 @@
         rate = sum(late_call_counts) / SEED_COUNT / (FAILURES_END_S - 10.0)
         assert rate < 1.05 / (0.75 * MAX_REJECTED_BACKOFF_S)
 
-    run(body())
+    run_async_test(body())
 
 
 def test_retries_of_a_fleet_rejected_at_the_same_time_spread_evenly() -> None:
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -19,8 +19,8 @@
     MAX_LOGGED_ENTRIES,
     EndpointList,
     EndpointListBuilder,
+    compute_max_body_bytes,
     decode_endpoint_list,
-    max_body_bytes,
 )
 from ingress.discovery.errors import InvalidEndpointListError
 from ingress.discovery.watch import EndpointWatch
@@ -28,16 +28,24 @@
 from tests.support.discovery import (
     LOCAL_ADDRESS,
     MALFORMED_ENTRY_FIELDS,
-    http_answer,
-    list_body,
+    encode_endpoint_list,
+    encode_http_response,
     running_watch,
 )
-from tests.support.peers import Peer, Reader, Writer, config, entry, run, until
+from tests.support.peers import (
+    Reader,
+    ScriptedServer,
+    Writer,
+    make_config,
+    make_endpoint_entry,
+    run_async_test,
+    wait_until,
+)
 
 
 def full_list_body(count: int, **changes: Any) -> bytes:
-    rows = [entry(LOCAL_ADDRESS, f"s-{number:08x}") | changes for number in range(count)]
-    return list_body(41, True, *rows)
+    rows = [make_endpoint_entry(LOCAL_ADDRESS, f"s-{number:08x}") | changes for number in range(count)]
+    return encode_endpoint_list(41, True, *rows)
 
 
 def decode(body: bytes | bytearray) -> EndpointList:
@@ -59,8 +67,8 @@
     write: Callable[[dict[str, Any]], str], kind: type[bytes] | type[bytearray]
 ) -> None:
     rows = [
-        entry(LOCAL_ADDRESS, started=1_700_000_000_500) | {"other": [1]},
-        entry(LOCAL_ADDRESS, "s2", "draining"),
+        make_endpoint_entry(LOCAL_ADDRESS, started_ms=1_700_000_000_500) | {"other": [1]},
+        make_endpoint_entry(LOCAL_ADDRESS, "s2", "draining"),
     ]
     source = {"version": 43, "full": False, "servers": rows}
     found = decode(kind(write(source).encode()))
@@ -88,7 +96,14 @@
 def test_malformed_entry_of_an_answer_is_skipped_and_logged(
     change: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
-    rows = [entry(LOCAL_ADDRESS) | change, entry(LOCAL_ADDRESS, "s2"), 5, None, [], "s3"]
+    rows = [
+        make_endpoint_entry(LOCAL_ADDRESS) | change,
+        make_endpoint_entry(LOCAL_ADDRESS, "s2"),
+        5,
+        None,
+        [],
+        "s3",
+    ]
     with caplog.at_level(logging.WARNING):
         found = decode(json.dumps({"version": 1, "full": True, "servers": rows}).encode())
     assert [b.id for b in found.backends] == ["s2"]
@@ -99,7 +114,7 @@
 
 @pytest.mark.parametrize("key", ["id", "addr", "state"])
 def test_entry_without_a_required_field_is_skipped(key: str) -> None:
-    row = entry(LOCAL_ADDRESS)
+    row = make_endpoint_entry(LOCAL_ADDRESS)
     del row[key]
     assert not decode(json.dumps({"version": 1, "servers": [row]}).encode()).backends
 
@@ -156,7 +171,7 @@
         assert len(decode_task.result().backends) == slice_count * ENTRIES_PER_SLICE
         assert loop_iterations >= slice_count
 
-    run(body())
+    run_async_test(body())
 
 
 class LongListAgent:
@@ -204,17 +219,17 @@
         assert watch.version is None
         assert agent.call_count == 1
 
-    run(body())
+    run_async_test(body())
 
 
-async def receive_first_list(peer: Peer, max_body_bytes: int) -> EndpointList:
+async def receive_first_list(peer: ScriptedServer, max_body_bytes: int) -> EndpointList:
     """Return the first list that a watch on this agent reports."""
     updates: list[EndpointList] = []
     watch = EndpointWatch(
         peer.address, lambda _, found: updates.append(found), Random(1), max_body_bytes=max_body_bytes
     )
     async with running_watch(watch):
-        await until(lambda: updates)
+        await wait_until(lambda: updates)
     return updates[0]
 
 
@@ -224,15 +239,15 @@
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(http_answer(body_bytes))
+        writer.write(encode_http_response(body_bytes))
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer:
-            found = await receive_first_list(peer, max_body_bytes(config().max_buffered_bytes))
+        async with ScriptedServer(script) as peer:
+            found = await receive_first_list(peer, compute_max_body_bytes(make_config().max_buffered_bytes))
         assert len(found.backends) == len(found.addresses) == 60_000
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("head", [b"Content-Length: 1000000000", b"Transfer-Encoding: chunked"])
@@ -247,7 +262,7 @@
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while await reader.readuntil(b"\r\n\r\n"):
             if number:
-                writer.write(http_answer(full_list_body(1)))
+                writer.write(encode_http_response(full_list_body(1)))
                 continue
             writer.write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n")
             while True:
@@ -255,19 +270,19 @@
                 await writer.drain()
 
     async def body() -> None:
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             found = await asyncio.wait_for(receive_first_list(peer, 0), 2.0)  # before the call times out
         assert len(found.backends) == 1
 
     with caplog.at_level(logging.WARNING):
-        run(body())
+        run_async_test(body())
     assert "too long: more than the 100000 bytes that limits.memory_mb allows" in caplog.text
 
 
 def test_size_limit_of_a_list_follows_the_memory_limit() -> None:
     def compute_limit(memory_mb: int) -> int:
         limits = {"cores": 1.0, "memory_mb": memory_mb, "sockets": 1024}
-        return max_body_bytes(config(limits=limits).max_buffered_bytes)
+        return compute_max_body_bytes(make_config(limits=limits).max_buffered_bytes)
 
     assert compute_limit(64) < compute_limit(192) < compute_limit(384)
     assert all(compute_limit(memory_mb) * 12 < memory_mb * 1024 * 1024 for memory_mb in (64, 192, 384, 2_048))
--- a/tests/discovery/test_http_client.py
+++ b/tests/discovery/test_http_client.py
@@ -13,8 +13,8 @@
     InvalidEndpointListError,
 )
 from ingress.discovery.http_client import HttpDiscoveryClient
-from tests.support.discovery import http_answer
-from tests.support.peers import Peer, Reader, Writer, reset, run, until
+from tests.support.discovery import encode_http_response
+from tests.support.peers import Reader, ScriptedServer, Writer, reset_connection, run_async_test, wait_until
 
 BODY = b'{"version":1}'
 MAX_BODY_BYTES = 1000
@@ -26,7 +26,7 @@
     return await reader.readuntil(b"\r\n\r\n")
 
 
-def make_agent(*answers: bytes) -> Peer:
+def make_agent(*answers: bytes) -> ScriptedServer:
     """Make an agent that sends the answers in turn, one for each call, and repeats the last one."""
     remaining_answers = list(answers)
 
@@ -35,7 +35,7 @@
             await read_request_head(reader)
             writer.write(remaining_answers.pop(0) if len(remaining_answers) > 1 else remaining_answers[0])
 
-    return Peer(script)
+    return ScriptedServer(script)
 
 
 async def fetch(client: HttpDiscoveryClient, timeout_s: float = LONG_TIMEOUT_S) -> bytes:
@@ -48,10 +48,10 @@
 
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             heads.append(await read_request_head(reader))
-            writer.write(http_answer(BODY))
+            writer.write(encode_http_response(BODY))
             await reader.read()
 
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             client = HttpDiscoveryClient(peer.address)
             assert await fetch(client) == BODY
             client.close()
@@ -59,32 +59,32 @@
             assert lines[0] == b"get /api/targets?after=1 http/1.1"
             assert b"host: %b:%d" % (peer.address[0].encode(), peer.address[1]) in lines
 
-    run(body())
+    run_async_test(body())
 
 
 def test_connection_is_reused() -> None:
     async def body() -> None:
-        async with make_agent(http_answer(BODY)) as peer:
+        async with make_agent(encode_http_response(BODY)) as peer:
             client = HttpDiscoveryClient(peer.address)
             assert [await fetch(client) for _ in range(3)] == [BODY] * 3
-            assert peer.connections == 1
+            assert peer.connection_count == 1
             client.close()
-            await until(lambda: peer.ended == 1)
+            await wait_until(lambda: peer.ended_connection_count == 1)
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize(
     "complete",
     [
-        http_answer(BODY),
-        http_answer(BODY, headers=b"Content-Type: application/json\r\nX-Other: 1\r\n"),
+        encode_http_response(BODY),
+        encode_http_response(BODY, headers=b"Content-Type: application/json\r\nX-Other: 1\r\n"),
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n"
         + BODY[:5]
         + b"\r\n8\r\n"
         + BODY[5:]
         + b"\r\n0\r\n\r\n",
-        b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + http_answer(BODY),
+        b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + encode_http_response(BODY),
     ],
 )
 @pytest.mark.parametrize("piece", [1, 7, 10_000])
@@ -97,13 +97,13 @@
                     writer.write(complete[start : start + piece])
                     await asyncio.sleep(0)
 
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             client = HttpDiscoveryClient(peer.address)
             assert [await fetch(client) for _ in range(2)] == [BODY] * 2
-            assert peer.connections == 1
+            assert peer.connection_count == 1
             client.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_answer_without_a_length_ends_with_its_connection() -> None:
@@ -112,12 +112,12 @@
             await read_request_head(reader)
             writer.write(b"HTTP/1.1 200 OK\r\n\r\n" + BODY)
 
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             client = HttpDiscoveryClient(peer.address)
             assert [await fetch(client) for _ in range(2)] == [BODY] * 2
-            assert peer.connections == 2
+            assert peer.connection_count == 2
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize(
@@ -135,13 +135,13 @@
             await read_request_head(reader)
             writer.write(begun)
             await asyncio.sleep(0.01)  # the client reads the first bytes before the reset
-            reset(writer)
+            reset_connection(writer)
 
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             with pytest.raises(DiscoveryUnavailableError):
                 await fetch(HttpDiscoveryClient(peer.address))
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize(
@@ -162,17 +162,17 @@
             await read_request_head(reader)
             writer.write(broken)
 
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             with pytest.raises(DiscoveryUnavailableError):
                 await fetch(HttpDiscoveryClient(peer.address))
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize(
     "too_long",
     [
-        http_answer(b"x" * (MAX_BODY_BYTES + 1)),
+        encode_http_response(b"x" * (MAX_BODY_BYTES + 1)),
         b"HTTP/1.1 200 OK\r\nContent-Length: 900000000000\r\n\r\n",
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n" + b"fff\r\n" + b"x" * 0xFFF + b"\r\n",
         b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * (MAX_BODY_BYTES + 1),
@@ -180,42 +180,44 @@
 )
 def test_answer_beyond_the_size_limit_is_dropped(too_long: bytes) -> None:
     async def body() -> None:
-        async with make_agent(too_long, http_answer(BODY)) as peer:
+        async with make_agent(too_long, encode_http_response(BODY)) as peer:
             client = HttpDiscoveryClient(peer.address)
             with pytest.raises(InvalidEndpointListError, match="too long"):
                 await fetch(client)
             assert await fetch(client) == BODY
-            assert peer.connections == 2
+            assert peer.connection_count == 2
             client.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_rejected_call_raises_its_own_error_and_keeps_the_connection() -> None:
     async def body() -> None:
-        async with make_agent(http_answer(b"later", b"503 Service Unavailable"), http_answer(BODY)) as peer:
+        async with make_agent(
+            encode_http_response(b"later", b"503 Service Unavailable"), encode_http_response(BODY)
+        ) as peer:
             client = HttpDiscoveryClient(peer.address)
             with pytest.raises(DiscoveryRejectedError, match="503"):
                 await fetch(client)
             assert await fetch(client) == BODY
-            assert peer.connections == 1
+            assert peer.connection_count == 1
             client.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_rejected_call_does_not_wait_for_the_rest_of_its_answer() -> None:
     async def body() -> None:
         refusal = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 10\r\n\r\nno"
-        async with make_agent(refusal, http_answer(BODY)) as peer:
+        async with make_agent(refusal, encode_http_response(BODY)) as peer:
             client = HttpDiscoveryClient(peer.address)
             with pytest.raises(DiscoveryRejectedError):
                 await fetch(client)
             assert await fetch(client) == BODY
-            assert peer.connections == 2
+            assert peer.connection_count == 2
             client.close()
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("with_reset", [False, True])
@@ -225,24 +227,24 @@
 
         async def script(number: int, reader: Reader, writer: Writer) -> None:
             await read_request_head(reader)
-            writer.write(http_answer(BODY))
+            writer.write(encode_http_response(BODY))
             if number == 0:
                 await answered.wait()
                 if with_reset:
-                    reset(writer)
+                    reset_connection(writer)
             else:
                 await reader.read()
 
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             client = HttpDiscoveryClient(peer.address)
             assert await fetch(client) == BODY
             answered.set()
-            await until(lambda: peer.ended == 1)
+            await wait_until(lambda: peer.ended_connection_count == 1)
             assert await fetch(client) == BODY
-            assert peer.connections == 2
+            assert peer.connection_count == 2
             client.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_kept_connection_that_ends_during_a_call_is_replaced_once() -> None:
@@ -250,28 +252,30 @@
         async def script(number: int, reader: Reader, writer: Writer) -> None:
             await read_request_head(reader)
             if number == 0:
-                writer.write(http_answer(BODY))
+                writer.write(encode_http_response(BODY))
                 await read_request_head(reader)
 
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             client = HttpDiscoveryClient(peer.address)
             assert await fetch(client) == BODY
             with pytest.raises(DiscoveryUnavailableError):
                 await fetch(client)
-            assert peer.connections == 2
+            assert peer.connection_count == 2
 
-    run(body())
+    run_async_test(body())
 
 
 def test_data_after_an_answer_is_not_taken_for_the_next_answer() -> None:
     async def body() -> None:
-        async with make_agent(http_answer(BODY) + http_answer(b"noise"), http_answer(b"second")) as peer:
+        async with make_agent(
+            encode_http_response(BODY) + encode_http_response(b"noise"), encode_http_response(b"second")
+        ) as peer:
             client = HttpDiscoveryClient(peer.address)
             assert await fetch(client) == BODY
             assert await fetch(client) == b"second"
             client.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_call_that_times_out_closes_its_connection() -> None:
@@ -279,12 +283,12 @@
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             await reader.read()
 
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             with pytest.raises(DiscoveryTimeoutError):
                 await fetch(HttpDiscoveryClient(peer.address), SHORT_TIMEOUT_S)
-            await until(lambda: peer.ended == 1)
+            await wait_until(lambda: peer.ended_connection_count == 1)
 
-    run(body())
+    run_async_test(body())
 
 
 def test_cancelled_call_closes_its_connection() -> None:
@@ -292,22 +296,22 @@
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             await reader.read()
 
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             call = asyncio.ensure_future(fetch(HttpDiscoveryClient(peer.address)))
-            await until(lambda: peer.connections == 1)
+            await wait_until(lambda: peer.connection_count == 1)
             call.cancel()
             with pytest.raises(asyncio.CancelledError):
                 await call
-            await until(lambda: peer.ended == 1)
+            await wait_until(lambda: peer.ended_connection_count == 1)
 
-    run(body())
+    run_async_test(body())
 
 
 def test_refused_connection_raises_unavailable() -> None:
     async def body() -> None:
-        async with make_agent(http_answer(BODY)) as peer:
+        async with make_agent(encode_http_response(BODY)) as peer:
             address = peer.address
         with pytest.raises(DiscoveryUnavailableError):
             await fetch(HttpDiscoveryClient(address))
 
-    run(body())
+    run_async_test(body())
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -20,11 +20,18 @@
     MALFORMED_ENTRY_FIELDS,
     REJECTION,
     ScriptedAgent,
-    http_answer,
-    list_body,
+    encode_endpoint_list,
+    encode_http_response,
     running_watch,
 )
-from tests.support.peers import Peer, Reader, Writer, entry, run, until
+from tests.support.peers import (
+    Reader,
+    ScriptedServer,
+    Writer,
+    make_endpoint_entry,
+    run_async_test,
+    wait_until,
+)
 
 FULL_LIST_TARGET = "/api/targets"
 LONG_POLL_TARGET = f"/api/targets?after=%d&wait_ms={WATCH_WAIT_MS}"
@@ -37,30 +44,34 @@
 ) -> list[tuple[EndpointUpdateKind, EndpointList]]:
     """Run a watch until the agent got `call_count` calls, and return the updates that it reported."""
     updates: list[tuple[EndpointUpdateKind, EndpointList]] = []
-    async with agent.peer:
+    async with agent.server:
         endpoint_watch = EndpointWatch(
-            agent.peer.address, lambda kind, found: updates.append((kind, found)), Random(1), version, timing
+            agent.server.address,
+            lambda kind, found: updates.append((kind, found)),
+            Random(1),
+            version,
+            timing,
         )
         async with running_watch(endpoint_watch):
-            await until(lambda: len(agent.asked) >= call_count)
+            await wait_until(lambda: len(agent.requested_targets) >= call_count)
     return updates
 
 
 def test_full_list_is_followed_by_changes() -> None:
     async def body() -> None:
         agent = ScriptedAgent(
-            list_body(
+            encode_endpoint_list(
                 41,
                 True,
-                entry(LOCAL_ADDRESS, started=0),
-                entry(LOCAL_ADDRESS, "s2", started=1_700_000_000_500),
+                make_endpoint_entry(LOCAL_ADDRESS, started_ms=0),
+                make_endpoint_entry(LOCAL_ADDRESS, "s2", started_ms=1_700_000_000_500),
             ),
-            list_body(43, False, entry(LOCAL_ADDRESS, "s2", "draining")),
-            list_body(44, False),
-            list_body(50, True, entry(LOCAL_ADDRESS)),
+            encode_endpoint_list(43, False, make_endpoint_entry(LOCAL_ADDRESS, "s2", "draining")),
+            encode_endpoint_list(44, False),
+            encode_endpoint_list(50, True, make_endpoint_entry(LOCAL_ADDRESS)),
         )
         updates = await collect_updates(agent, 5)
-        assert agent.asked == [
+        assert agent.requested_targets == [
             FULL_LIST_TARGET,
             LONG_POLL_TARGET % 41,
             LONG_POLL_TARGET % 43,
@@ -76,18 +87,18 @@
         assert updates[1][1].backends[0].readiness is Readiness.DRAINING
         assert updates[0][1].addresses["s2"] == LOCAL_ADDRESS
 
-    run(body())
+    run_async_test(body())
 
 
 def test_full_list_is_fetched_after_the_agent_restarts_its_versions() -> None:
     async def body() -> None:
         agent = ScriptedAgent(
-            list_body(41, True, entry(LOCAL_ADDRESS)),
-            list_body(3, False, entry(LOCAL_ADDRESS, "s9")),
-            list_body(3, True, entry(LOCAL_ADDRESS, "s9")),
+            encode_endpoint_list(41, True, make_endpoint_entry(LOCAL_ADDRESS)),
+            encode_endpoint_list(3, False, make_endpoint_entry(LOCAL_ADDRESS, "s9")),
+            encode_endpoint_list(3, True, make_endpoint_entry(LOCAL_ADDRESS, "s9")),
         )
         updates = await collect_updates(agent, 4)
-        assert agent.asked == [
+        assert agent.requested_targets == [
             FULL_LIST_TARGET,
             LONG_POLL_TARGET % 41,
             FULL_LIST_TARGET,
@@ -95,38 +106,41 @@
         ]
         assert [[b.id for b in found.backends] for _, found in updates] == [["s1"], ["s9"]]
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("broken", [b"", b"{", b"[]", b'{"version":1}', b'{"version":"x","servers":[]}'])
 def test_failed_call_is_retried_and_the_list_is_kept(broken: bytes) -> None:
     async def body() -> None:
         agent = ScriptedAgent(
-            list_body(41, True, entry(LOCAL_ADDRESS)),
+            encode_endpoint_list(41, True, make_endpoint_entry(LOCAL_ADDRESS)),
             broken,
             broken,
-            list_body(42, True, entry(LOCAL_ADDRESS)),
+            encode_endpoint_list(42, True, make_endpoint_entry(LOCAL_ADDRESS)),
         )
         updates = await collect_updates(agent, 5)
-        assert agent.asked[:2] == [FULL_LIST_TARGET, LONG_POLL_TARGET % 41]
-        assert agent.asked[-1] == LONG_POLL_TARGET % 42
-        fetches_full_list = FULL_LIST_TARGET in agent.asked[2:]
+        assert agent.requested_targets[:2] == [FULL_LIST_TARGET, LONG_POLL_TARGET % 41]
+        assert agent.requested_targets[-1] == LONG_POLL_TARGET % 42
+        fetches_full_list = FULL_LIST_TARGET in agent.requested_targets[2:]
         # Only an invalid answer, and not a missing one, suggests that the held list is wrong.
         assert fetches_full_list is bool(broken)
         assert [found.version for _, found in updates] == [41, 42]
 
-    run(body())
+    run_async_test(body())
 
 
 def test_unanswered_call_times_out_and_is_retried() -> None:
     async def body() -> None:
         agent = ScriptedAgent(
-            None, list_body(1, True, entry(LOCAL_ADDRESS)), None, list_body(2, True, entry(LOCAL_ADDRESS))
+            None,
+            encode_endpoint_list(1, True, make_endpoint_entry(LOCAL_ADDRESS)),
+            None,
+            encode_endpoint_list(2, True, make_endpoint_entry(LOCAL_ADDRESS)),
         )
         updates = await collect_updates(agent, 5, timing=SHORT_TIMEOUTS)
         assert [found.version for _, found in updates] == [1, 2]
 
-    run(body())
+    run_async_test(body())
 
 
 def test_unanswered_long_poll_is_replaced_by_a_call_on_a_new_connection() -> None:
@@ -136,14 +150,16 @@
     async def body() -> None:
         timing = replace(SHORT_TIMEOUTS, poll_timeout_s=POLLED_TIMING.poll_timeout_s)
         agent = ScriptedAgent(
-            list_body(1, True, entry(LOCAL_ADDRESS)), None, list_body(2, False, entry(LOCAL_ADDRESS, "s2"))
+            encode_endpoint_list(1, True, make_endpoint_entry(LOCAL_ADDRESS)),
+            None,
+            encode_endpoint_list(2, False, make_endpoint_entry(LOCAL_ADDRESS, "s2")),
         )
         updates = await collect_updates(agent, 4, timing=timing)
         assert [found.version for _, found in updates] == [1, 2]
-        assert "after=1&" in agent.asked[2]
-        assert agent.peer.connections == 2
+        assert "after=1&" in agent.requested_targets[2]
+        assert agent.server.connection_count == 2
 
-    run(body())
+    run_async_test(body())
 
 
 def test_unanswered_calls_to_a_pushing_agent_time_out_before_the_notification() -> None:
@@ -156,15 +172,15 @@
         agent = ScriptedAgent(
             None,
             None,
-            list_body(1, True, entry(LOCAL_ADDRESS)),
+            encode_endpoint_list(1, True, make_endpoint_entry(LOCAL_ADDRESS)),
             None,
             None,
-            list_body(2, False, entry(LOCAL_ADDRESS)),
+            encode_endpoint_list(2, False, make_endpoint_entry(LOCAL_ADDRESS)),
         )
         updates = await asyncio.wait_for(collect_updates(agent, 7, timing=timing), 2.0)
         assert [found.version for _, found in updates] == [1, 2]
 
-    run(body())
+    run_async_test(body())
 
 
 def test_endless_list_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -173,7 +189,9 @@
     async def endless(number: int, reader: Reader, writer: Writer) -> None:
         while await reader.readuntil(b"\r\n\r\n"):
             if number:
-                writer.write(http_answer(list_body(1, True, entry(LOCAL_ADDRESS))))
+                writer.write(
+                    encode_http_response(encode_endpoint_list(1, True, make_endpoint_entry(LOCAL_ADDRESS)))
+                )
                 continue
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: 1000000000\r\n\r\n")
             while True:
@@ -182,38 +200,39 @@
 
     async def body() -> None:
         updates: list[EndpointList] = []
-        async with Peer(endless) as peer:
+        async with ScriptedServer(endless) as peer:
             watch = EndpointWatch(peer.address, lambda _, found: updates.append(found), Random(1))
             async with running_watch(watch):
-                await asyncio.wait_for(until(lambda: updates), 2.0)  # before the call times out
+                await asyncio.wait_for(wait_until(lambda: updates), 2.0)  # before the call times out
 
-    run(body())
+    run_async_test(body())
 
 
 def test_watch_continues_after_an_exception_in_the_callback() -> None:
     async def body() -> None:
         agent = ScriptedAgent(
-            list_body(1, True, entry(LOCAL_ADDRESS)), list_body(2, True, entry(LOCAL_ADDRESS))
+            encode_endpoint_list(1, True, make_endpoint_entry(LOCAL_ADDRESS)),
+            encode_endpoint_list(2, True, make_endpoint_entry(LOCAL_ADDRESS)),
         )
 
         def raise_error(kind: EndpointUpdateKind, found: EndpointList) -> None:
             raise RuntimeError("a fault")
 
         async with (
-            agent.peer,
-            running_watch(EndpointWatch(agent.peer.address, raise_error, Random(1))) as task,
+            agent.server,
+            running_watch(EndpointWatch(agent.server.address, raise_error, Random(1))) as task,
         ):
-            await until(lambda: len(agent.asked) >= 3)
+            await wait_until(lambda: len(agent.requested_targets) >= 3)
             assert not task.done()
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("change", MALFORMED_ENTRY_FIELDS)
 def test_malformed_entry_of_a_parsed_list_is_skipped_and_logged(
     change: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
-    rows = [entry(LOCAL_ADDRESS) | change, entry(LOCAL_ADDRESS, "s2"), 5]
+    rows = [make_endpoint_entry(LOCAL_ADDRESS) | change, make_endpoint_entry(LOCAL_ADDRESS, "s2"), 5]
     with caplog.at_level(logging.WARNING):
         found = parse_endpoint_list({"version": 1, "full": True, "servers": rows})
     assert [b.id for b in found.backends] == ["s2"]
@@ -225,12 +244,12 @@
 
     async def body() -> None:
         agent = ScriptedAgent(
-            list_body(41, True, entry(LOCAL_ADDRESS)),
+            encode_endpoint_list(41, True, make_endpoint_entry(LOCAL_ADDRESS)),
             REJECTION,
-            list_body(42, False, entry(LOCAL_ADDRESS, "s2")),
+            encode_endpoint_list(42, False, make_endpoint_entry(LOCAL_ADDRESS, "s2")),
         )
         updates = await collect_updates(agent, 4)
-        assert agent.asked == [
+        assert agent.requested_targets == [
             FULL_LIST_TARGET,
             LONG_POLL_TARGET % 41,
             RETRY_TARGET % 41,
@@ -238,14 +257,14 @@
         ]
         assert [found.version for _, found in updates] == [41, 42]
 
-    run(body())
+    run_async_test(body())
 
 
 def test_watch_with_a_held_list_fetches_changes_only() -> None:
     async def body() -> None:
-        agent = ScriptedAgent(list_body(8, False, entry(LOCAL_ADDRESS, "s2")))
+        agent = ScriptedAgent(encode_endpoint_list(8, False, make_endpoint_entry(LOCAL_ADDRESS, "s2")))
         updates = await collect_updates(agent, 2, version=7)
-        assert agent.asked == [LONG_POLL_TARGET % 7, LONG_POLL_TARGET % 8]
+        assert agent.requested_targets == [LONG_POLL_TARGET % 7, LONG_POLL_TARGET % 8]
         assert [kind for kind, _ in updates] == [EndpointUpdateKind.UPDATE]
 
-    run(body())
+    run_async_test(body())
--- a/tests/downstream/test_back_pressure.py
+++ b/tests/downstream/test_back_pressure.py
@@ -8,15 +8,24 @@
 
 import ingress.interface as api
 from ingress.downstream import command_buffer, connection
-from tests.support.ingress import script_gateway, send_to_s1, serving
-from tests.support.peers import Caller, backend, command, config, entry, reset, run, until
+from tests.support.ingress import install_scripted_gateway, running_ingress, send_to_s1
+from tests.support.peers import (
+    RespClient,
+    make_command,
+    make_config,
+    make_endpoint_entry,
+    reset_connection,
+    run_async_test,
+    scripted_backend,
+    wait_until,
+)
 
 COMMANDS_ABOVE_COMMAND_SIZE_LIMIT = 8000  # together larger than the 256 KiB limit of one command
 
 
 def pipelined_commands(count: int) -> bytes:
     """Return the commands of a client that sends all of them without waiting for replies."""
-    return b"".join(command(str(n), d=4000) for n in range(count))
+    return b"".join(make_command(str(n), wait_ms=4000) for n in range(count))
 
 
 def test_no_command_is_taken_while_the_pipeline_is_full(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -24,35 +33,38 @@
     max_in_flight = 0
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
+        async with (
+            scripted_backend() as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
 
             def decide(event: api.Event) -> list[api.Action]:
                 nonlocal max_in_flight
                 max_in_flight = max(max_in_flight, len(ingress.requests))
                 return send_to_s1(event)
 
-            script_gateway(ingress, decide)
-            caller = await Caller.to(address)
-            caller.writer.write(b"".join(command(str(n)) for n in range(50)))
-            assert [await caller.answer() for _ in range(50)] == [b"%d" % n for n in range(50)]
+            install_scripted_gateway(ingress, decide)
+            caller = await RespClient.connect(address)
+            caller.writer.write(b"".join(make_command(str(n)) for n in range(50)))
+            assert [await caller.read_reply() for _ in range(50)] == [b"%d" % n for n in range(50)]
 
-    run(body())
+    run_async_test(body())
     assert max_in_flight == 4
 
 
 def test_buffered_input_of_all_connections_is_bounded() -> None:
     async def body() -> None:
-        async with serving(config()) as (ingress, address):
+        async with running_ingress(make_config()) as (ingress, address):
             ingress.listener.input_budget.max_bytes = 100_000
             part = b"*5\r\n$9\r\nAPI.WRITE\r\n$60000\r\n" + b"x" * 50_000
-            callers = [await Caller.to(address) for _ in range(2)]
+            callers = [await RespClient.connect(address) for _ in range(2)]
             callers[0].writer.write(part)
-            await until(lambda: ingress.listener.input_budget.used_bytes >= 50_000)
+            await wait_until(lambda: ingress.listener.input_budget.used_bytes >= 50_000)
             callers[1].writer.write(part)
-            assert "on the way" in str(await callers[1].answer())
+            assert "on the way" in str(await callers[1].read_reply())
             assert ingress.listener.input_budget.used_bytes <= 100_000
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("commands", [50, COMMANDS_ABOVE_COMMAND_SIZE_LIMIT])
@@ -62,24 +74,29 @@
     monkeypatch.setattr(connection, "MAX_PIPELINED", 4)
 
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
-            gateway = script_gateway(ingress, send_to_s1)
-            caller = await Caller.to(address)
+        async with (
+            scripted_backend(b"") as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
+            gateway = install_scripted_gateway(ingress, send_to_s1)
+            caller = await RespClient.connect(address)
             data = pipelined_commands(commands)
             assert (
                 commands < COMMANDS_ABOVE_COMMAND_SIZE_LIMIT or len(data) > command_buffer.MAX_COMMAND_BYTES
             )
             caller.writer.write(data)
             await caller.writer.drain()
-            await until(lambda: len(ingress.requests) == 4)
+            await wait_until(lambda: len(ingress.requests) == 4)
             caller.writer.close()
             # Well before the four requests reach their deadlines.
-            await asyncio.wait_for(until(lambda: len(gateway.events_of(api.RequestCancelled)) == 4), 2.0)
-            assert len(gateway.events_of(api.Request)) == 4
+            await asyncio.wait_for(
+                wait_until(lambda: len(gateway.get_events_of_type(api.RequestCancelled)) == 4), 2.0
+            )
+            assert len(gateway.get_events_of_type(api.Request)) == 4
             assert not ingress.listener.input_budget.used_bytes
-            await until(lambda: not ingress.listener.connections)
+            await wait_until(lambda: not ingress.listener.connections)
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("with_reset", [False, True])
@@ -89,41 +106,49 @@
     monkeypatch.setattr(connection, "MAX_PIPELINED", 4)
 
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
-            gateway = script_gateway(ingress, send_to_s1)
+        async with (
+            scripted_backend(b"") as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
+            gateway = install_scripted_gateway(ingress, send_to_s1)
             ingress.listener.input_budget.max_bytes = 3000
-            caller = await Caller.to(address)
+            caller = await RespClient.connect(address)
             caller.writer.write(pipelined_commands(4 + 20))
-            await until(lambda: ingress.listener.input_budget.used_bytes > 1500)
+            await wait_until(lambda: ingress.listener.input_budget.used_bytes > 1500)
             [client] = ingress.listener.connections
-            await until(lambda: client.disconnect_check_timer is not None)
+            await wait_until(lambda: client.disconnect_check_timer is not None)
             # This command stays unread in the socket, in front of the end of the connection.
-            caller.writer.write(command("behind", d=4000))
+            caller.writer.write(make_command("behind", wait_ms=4000))
             if with_reset:
-                reset(caller.writer)
+                reset_connection(caller.writer)
             else:
                 caller.writer.close()
-            await asyncio.wait_for(until(lambda: len(gateway.events_of(api.RequestCancelled)) == 4), 2.0)
-            assert len(gateway.events_of(api.Request)) == 4
+            await asyncio.wait_for(
+                wait_until(lambda: len(gateway.get_events_of_type(api.RequestCancelled)) == 4), 2.0
+            )
+            assert len(gateway.get_events_of_type(api.Request)) == 4
             assert not ingress.listener.input_budget.used_bytes
 
-    run(body())
+    run_async_test(body())
 
 
 def test_disconnect_is_detected_while_writing_is_blocked() -> None:
     async def body() -> None:
-        async with backend(b"") as peer, serving(config(entry(peer.address))) as (ingress, address):
-            gateway = script_gateway(ingress, send_to_s1)
-            caller = await Caller.to(address)
-            caller.writer.write(command("first", d=4000))
-            await until(lambda: ingress.requests)
+        async with (
+            scripted_backend(b"") as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
+            gateway = install_scripted_gateway(ingress, send_to_s1)
+            caller = await RespClient.connect(address)
+            caller.writer.write(make_command("first", wait_ms=4000))
+            await wait_until(lambda: ingress.requests)
             [client] = ingress.listener.connections
             client.pause_writing()  # as the transport does if the client does not read
             caller.writer.write(pipelined_commands(COMMANDS_ABOVE_COMMAND_SIZE_LIMIT))
             await caller.writer.drain()
             caller.writer.close()
-            await asyncio.wait_for(until(lambda: gateway.events_of(api.RequestCancelled)), 1.0)
-            assert len(gateway.events_of(api.Request)) == 1
+            await asyncio.wait_for(wait_until(lambda: gateway.get_events_of_type(api.RequestCancelled)), 1.0)
+            assert len(gateway.get_events_of_type(api.Request)) == 1
             assert not ingress.listener.input_budget.used_bytes
 
-    run(body())
+    run_async_test(body())
--- a/tests/downstream/test_command_buffer.py
+++ b/tests/downstream/test_command_buffer.py
@@ -7,15 +7,15 @@
 from ingress.downstream.command_buffer import MAX_ARGUMENTS, CommandBuffer
 from ingress.network.buffer_budget import BufferBudget
 from ingress.network.frames import FrameError
-from tests.support.peers import resp
+from tests.support.peers import encode_resp_array
 
-PING = resp(b"PING", b"text")
+PING = encode_resp_array(b"PING", b"text")
 
 
 def test_commands_are_taken_in_order_and_dropped_together() -> None:
     budget = BufferBudget(max_bytes=1000)
     buffer = CommandBuffer(budget)
-    buffer.append(PING + resp(b"SELECT", b"0") + PING[:-3])
+    buffer.append(PING + encode_resp_array(b"SELECT", b"0") + PING[:-3])
     assert buffer.take_command() == [b"PING", b"text"]
     assert buffer.take_command() == [b"SELECT", b"0"]
     assert buffer.take_command() is None
--- a/tests/downstream/test_command_executor.py
+++ b/tests/downstream/test_command_executor.py
@@ -7,7 +7,7 @@
 from ingress.downstream.command_executor import INTERNAL_ERROR_REPLY, MAX_MALFORMED_COMMANDS, CommandExecutor
 from ingress.downstream.commands import Command, CommandError, CommandParser
 from ingress.downstream.request_handler import PendingReply, RequestHandler
-from tests.support.peers import config
+from tests.support.peers import make_config
 
 RECEIVED_AT = 1000.0
 VALID_COMMAND = [b"api.read", b"%016x" % 7, b"id-1", b"c=read,t=basic,d=100,units=1,spread=1,first=0"]
@@ -24,7 +24,7 @@
     """A listener that is also the request handler; the handler raises `error` unless it is None."""
 
     def __init__(self, error: Exception | None = None) -> None:
-        self.command_parser = CommandParser(config().settings)
+        self.command_parser = CommandParser(make_config().settings)
         self.handler: RequestHandler = self
         self.error = error
         self.requests: list[tuple[bytes, float]] = []
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -10,20 +10,20 @@
 
 from ingress.downstream import command_executor, connection, listener, timeouts
 from ingress.process.ingress import Ingress
-from tests.support.ingress import script_gateway, send_to_s1, serving
+from tests.support.ingress import install_scripted_gateway, running_ingress, send_to_s1
 from tests.support.peers import (
-    Caller,
-    Peer,
     Reader,
+    RespClient,
+    ScriptedServer,
     Writer,
-    command,
-    config,
-    entry,
+    encode_resp_array,
+    encode_value_reply,
+    make_command,
+    make_config,
+    make_endpoint_entry,
     read_command,
-    resp,
-    run,
-    until,
-    value,
+    run_async_test,
+    wait_until,
 )
 
 
@@ -31,21 +31,24 @@
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         arguments = await read_command(reader)
         if arguments[2] == b"slow":
-            await until(lambda: peer.commands)
+            await wait_until(lambda: peer.received_commands)
         else:
-            peer.commands.append(arguments)
-        writer.write(value(arguments[2]))
+            peer.received_commands.append(arguments)
+        writer.write(encode_value_reply(arguments[2]))
         await reader.read()
 
     async def body() -> None:
-        async with peer, serving(config(entry(peer.address))) as (ingress, address):
-            script_gateway(ingress, send_to_s1)
-            caller = await Caller.to(address)
-            caller.writer.write(command("slow") + command("quick") + resp(b"PING"))
-            assert [await caller.answer() for _ in range(3)] == [b"slow", b"quick", b"PONG"]
+        async with (
+            peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
+            install_scripted_gateway(ingress, send_to_s1)
+            caller = await RespClient.connect(address)
+            caller.writer.write(make_command("slow") + make_command("quick") + encode_resp_array(b"PING"))
+            assert [await caller.read_reply() for _ in range(3)] == [b"slow", b"quick", b"PONG"]
 
-    peer = Peer(script)
-    run(body())
+    peer = ScriptedServer(script)
+    run_async_test(body())
 
 
 @pytest.mark.parametrize(
@@ -72,46 +75,49 @@
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        await until(lambda: ingresses[0].listener.malformed_command_log.count)
-        writer.write(value(b"served"))
+        await wait_until(lambda: ingresses[0].listener.malformed_command_log.count)
+        writer.write(encode_value_reply(b"served"))
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (ingress, address):
+        async with (
+            ScriptedServer(script) as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
             ingresses.append(ingress)
-            caller = await Caller.to(address)
-            caller.writer.write(command() + data)
-            assert await caller.answer() == b"served"
-            assert str(await caller.answer()).startswith("ERR ")
+            caller = await RespClient.connect(address)
+            caller.writer.write(make_command() + data)
+            assert await caller.read_reply() == b"served"
+            assert str(await caller.read_reply()).startswith("ERR ")
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.answer()
+                await caller.read_reply()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_frame_that_claims_a_billion_arguments_does_not_stall_the_loop() -> None:
     async def body() -> None:
-        async with serving(config()) as (_, address):
-            caller = await Caller.to(address)
-            assert "too many words" in str(await caller.ask(b"*1000000000\r\n"))
+        async with running_ingress(make_config()) as (_, address):
+            caller = await RespClient.connect(address)
+            assert "too many words" in str(await caller.send_and_read_reply(b"*1000000000\r\n"))
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.answer()
+                await caller.read_reply()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_client_that_repeats_malformed_commands_is_disconnected() -> None:
     async def body() -> None:
-        async with serving(config()) as (ingress, address):
-            caller = await Caller.to(address)
-            caller.writer.write(resp(b"NO") * 300)
+        async with running_ingress(make_config()) as (ingress, address):
+            caller = await RespClient.connect(address)
+            caller.writer.write(encode_resp_array(b"NO") * 300)
             for _ in range(command_executor.MAX_MALFORMED_COMMANDS):
-                assert isinstance(await caller.answer(), hiredis.ReplyError)
+                assert isinstance(await caller.read_reply(), hiredis.ReplyError)
             with pytest.raises((EOFError, ConnectionError)):
-                await caller.answer()
+                await caller.read_reply()
             assert ingress.listener.malformed_command_log.count == command_executor.MAX_MALFORMED_COMMANDS
 
-    run(body())
+    run_async_test(body())
 
 
 def test_last_error_reply_is_delivered_while_more_input_arrives(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -124,17 +130,17 @@
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (ingress, address):
-            caller = await Caller.to(address)
+        async with running_ingress(make_config()) as (ingress, address):
+            caller = await RespClient.connect(address)
             caller.writer.write(b"*5\r\n$60000000\r\n")
-            assert "too large" in str(await caller.answer())
+            assert "too large" in str(await caller.read_reply())
             client = next(iter(ingress.listener.connections))
             caller.writer.write(bytes(60_000_000))
-            await until(lambda: not ingress.listener.connections)
+            await wait_until(lambda: not ingress.listener.connections)
             assert client.discarded_bytes < 2 * connection.MAX_DISCARDED_BYTES
             caller.writer.transport.abort()
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("sent", [b"", b"*", b"*4\r\n$8\r\nAPI.R", b"*1\r\n$4\r\nPIN"])
@@ -143,16 +149,16 @@
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (ingress, address):
-            caller = await Caller.to(address)
+        async with running_ingress(make_config()) as (ingress, address):
+            caller = await RespClient.connect(address)
             caller.writer.write(sent)
             received = await caller.reader.read()  # until the connection is closed
             assert received.startswith(b"-ERR ") is bool(sent)
             caller.writer.close()
-            await until(lambda: not ingress.listener.connections)
+            await wait_until(lambda: not ingress.listener.connections)
             assert not ingress.listener.input_budget.used_bytes
 
-    run(body())
+    run_async_test(body())
 
 
 def test_single_bytes_do_not_extend_the_timeout_of_a_partial_command(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -161,17 +167,17 @@
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (_, address):
-            caller = await Caller.to(address)
+        async with running_ingress(make_config()) as (_, address):
+            caller = await RespClient.connect(address)
             received = asyncio.create_task(caller.reader.read())
-            for byte in command(request="1" * 100):
+            for byte in make_command(request_id="1" * 100):
                 if received.done():
                     break
                 caller.writer.write(bytes([byte]))
                 await asyncio.wait({received}, timeout=0.05)
             assert (await received).startswith(b"-ERR ")
 
-    run(body())
+    run_async_test(body())
 
 
 def test_idle_connection_is_closed_and_busy_one_is_not(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -184,22 +190,25 @@
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         arguments = await read_command(reader)
-        await until(lambda: ended)
-        writer.write(value(arguments[2]))
+        await wait_until(lambda: ended)
+        writer.write(encode_value_reply(arguments[2]))
         await reader.read()
 
     async def body() -> None:
-        async with Peer(script) as peer, serving(config(entry(peer.address))) as (_, address):
-            idle, busy = await Caller.to(address), await Caller.to(address)
-            busy.writer.write(command("busy"))
-            assert await idle.ask(resp(b"PING")) == b"PONG"
+        async with (
+            ScriptedServer(script) as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (_, address),
+        ):
+            idle, busy = await RespClient.connect(address), await RespClient.connect(address)
+            busy.writer.write(make_command("busy"))
+            assert await idle.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
             with pytest.raises((EOFError, ConnectionError)):
-                await idle.answer()
+                await idle.read_reply()
             ended.append(True)
-            assert await busy.answer() == b"busy"
+            assert await busy.read_reply() == b"busy"
 
     ended: list[bool] = []
-    run(body())
+    run_async_test(body())
 
 
 def test_client_that_does_not_read_its_replies_is_disconnected(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -207,11 +216,11 @@
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
-        async with serving(config()) as (ingress, address):
+        async with running_ingress(make_config()) as (ingress, address):
             sock = socket.create_connection(address)
             sock.setblocking(False)
-            await until(lambda: ingress.listener.connections)
-            loop, text = asyncio.get_running_loop(), resp(b"PING", b"x" * 60_000)
+            await wait_until(lambda: ingress.listener.connections)
+            loop, text = asyncio.get_running_loop(), encode_resp_array(b"PING", b"x" * 60_000)
 
             async def send() -> None:
                 while True:
@@ -220,6 +229,6 @@
             with pytest.raises(ConnectionError):
                 await send()
             sock.close()
-            await until(lambda: not ingress.listener.connections)
+            await wait_until(lambda: not ingress.listener.connections)
 
-    run(body())
+    run_async_test(body())
--- a/tests/downstream/test_drain.py
+++ b/tests/downstream/test_drain.py
@@ -10,16 +10,30 @@
 import pytest
 
 from ingress.downstream import connection
-from tests.support.ingress import client_connections, script_gateway, send_to_s1, serving
-from tests.support.peers import Caller, backend, command, config, entry, resp, run, until
+from tests.support.ingress import (
+    install_scripted_gateway,
+    running_ingress,
+    send_to_s1,
+    wait_for_client_connections,
+)
+from tests.support.peers import (
+    RespClient,
+    encode_resp_array,
+    make_command,
+    make_config,
+    make_endpoint_entry,
+    run_async_test,
+    scripted_backend,
+    wait_until,
+)
 
 
 def test_connection_accepted_while_draining_is_served_and_then_closed() -> None:
     async def body() -> None:
-        async with serving(config()) as (ingress, address):
+        async with running_ingress(make_config()) as (ingress, address):
             idle = socket.create_connection(address)
             busy = socket.create_connection(address)
-            busy.sendall(resp(b"PING"))
+            busy.sendall(encode_resp_array(b"PING"))
             ingress.listener.drain()  # before the event loop has accepted either connection
             loop = asyncio.get_running_loop()
             for sock in (idle, busy):
@@ -28,40 +42,48 @@
             for sock in (idle, busy):
                 assert await loop.sock_recv(sock, 100) == b""
                 sock.close()
-            await until(lambda: not ingress.listener.connections)
+            await wait_until(lambda: not ingress.listener.connections)
 
-    run(body())
+    run_async_test(body())
 
 
 def test_commands_received_together_are_all_served_while_draining() -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
-            caller = await Caller.to(address)
-            caller.writer.write(command("first"))
-            assert await caller.answer() == b"first"
+        async with (
+            scripted_backend() as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
+            caller = await RespClient.connect(address)
+            caller.writer.write(make_command("first"))
+            assert await caller.read_reply() == b"first"
             # Set directly, since `drain` would close the connection, which is idle now, at once.
             ingress.listener.is_draining = True
-            caller.writer.write(resp(b"PING") + command("second") + resp(b"PING"))
-            assert [await caller.answer() for _ in range(3)] == [b"PONG", b"second", b"PONG"]
+            caller.writer.write(
+                encode_resp_array(b"PING") + make_command("second") + encode_resp_array(b"PING")
+            )
+            assert [await caller.read_reply() for _ in range(3)] == [b"PONG", b"second", b"PONG"]
             assert await caller.closes_without_reset()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_commands_beyond_a_full_pipeline_are_served_while_draining(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(connection, "MAX_PIPELINED", 4)
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
-            script_gateway(ingress, send_to_s1)
-            caller = await Caller.to(address)
-            caller.writer.write(b"".join(command(str(n)) for n in range(30)))
-            await until(lambda: ingress.requests)
+        async with (
+            scripted_backend() as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
+            install_scripted_gateway(ingress, send_to_s1)
+            caller = await RespClient.connect(address)
+            caller.writer.write(b"".join(make_command(str(n)) for n in range(30)))
+            await wait_until(lambda: ingress.requests)
             ingress.listener.drain()
-            assert [await caller.answer() for _ in range(30)] == [b"%d" % n for n in range(30)]
+            assert [await caller.read_reply() for _ in range(30)] == [b"%d" % n for n in range(30)]
             assert await caller.closes_without_reset()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_request_received_while_a_reply_is_being_sent_is_served_while_draining() -> None:
@@ -69,20 +91,23 @@
     size = 8 << 20
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
-            script_gateway(ingress, send_to_s1)
+        async with (
+            scripted_backend() as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
+            install_scripted_gateway(ingress, send_to_s1)
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.connect(address)
-            sock.sendall(resp(b"PING"))
-            [client] = await client_connections(ingress, 1)
-            await until(lambda: client in ingress.listener.idle_connections.answered)
+            sock.sendall(encode_resp_array(b"PING"))
+            [client] = await wait_for_client_connections(ingress, 1)
+            await wait_until(lambda: client in ingress.listener.idle_connections.answered)
             assert client.transport
             # A long reply is being sent, but less than the limit is buffered, so there is no back-pressure.
             client.transport.set_write_buffer_limits(2 * size)
             client.transport.write(b"+" + b"v" * size + b"\r\n")
             ingress.listener.drain()
-            sock.sendall(command("late"))
+            sock.sendall(make_command("late"))
             sock.setblocking(False)
             loop, received = asyncio.get_running_loop(), b""
             while chunk := await loop.sock_recv(sock, 1 << 20):
@@ -91,31 +116,34 @@
             assert received.endswith(b"v\r\n$4\r\nlate\r\n")
             sock.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_connections_in_the_backlog_are_served_while_draining() -> None:
     """The connection limit is reached when the drain begins, and more connections wait with a request."""
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
-            script_gateway(ingress, send_to_s1)
+        async with (
+            scripted_backend() as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
+            install_scripted_gateway(ingress, send_to_s1)
             ingress.listener.max_connections = 3
-            first = [await Caller.to(address) for _ in range(3)]
+            first = [await RespClient.connect(address) for _ in range(3)]
             for caller in first:
-                assert await caller.ask(resp(b"PING")) == b"PONG"
+                assert await caller.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
             waiting = [socket.create_connection(address) for _ in range(6)]
             for number, sock in enumerate(waiting):
-                sock.sendall(command(f"w{number}"))
+                sock.sendall(make_command(f"w{number}"))
             ingress.listener.drain()
             loop = asyncio.get_running_loop()
             for number, sock in enumerate(waiting):
                 sock.setblocking(False)
                 assert await loop.sock_recv(sock, 1000) == b"$2\r\nw%d\r\n" % number
                 sock.close()
-            await until(lambda: ingress.listener.sock.fileno() < 0 and not ingress.listener.connections)
+            await wait_until(lambda: ingress.listener.sock.fileno() < 0 and not ingress.listener.connections)
 
-    run(body())
+    run_async_test(body())
 
 
 def test_connection_behind_an_aborted_one_is_served_while_draining() -> None:
@@ -136,28 +164,31 @@
             return self.sock.accept()
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
+        async with (
+            scripted_backend() as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
             ingress.listener.sock = ListeningSocket(ingress.listener.sock)  # type: ignore[assignment]
             sock = socket.create_connection(address)
-            sock.sendall(command("behind"))
+            sock.sendall(make_command("behind"))
             ingress.listener.drain()
             sock.setblocking(False)
             assert await asyncio.get_running_loop().sock_recv(sock, 1000) == b"$6\r\nbehind\r\n"
             sock.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_wait_until_drained_ends_when_the_last_connection_closes() -> None:
     async def body() -> None:
-        async with serving(config()) as (ingress, address):
-            callers = [await Caller.to(address) for _ in range(2)]
+        async with running_ingress(make_config()) as (ingress, address):
+            callers = [await RespClient.connect(address) for _ in range(2)]
             for caller in callers:
-                assert await caller.ask(resp(b"PING")) == b"PONG"
+                assert await caller.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
             loop = asyncio.get_running_loop()
             drained = asyncio.create_task(ingress.listener.wait_until_drained(loop.time() + 10.0))
             callers[0].writer.close()
-            await until(lambda: len(ingress.listener.connections) == 1)
+            await wait_until(lambda: len(ingress.listener.connections) == 1)
             assert not drained.done()
             callers[1].writer.close()
             start = loop.time()
@@ -165,12 +196,12 @@
             assert loop.time() - start < 5.0
             assert not ingress.listener.connections
 
-    run(body())
+    run_async_test(body())
 
 
 def test_wait_until_drained_includes_connections_in_the_backlog() -> None:
     async def body() -> None:
-        async with serving(config()) as (ingress, _):
+        async with running_ingress(make_config()) as (ingress, _):
             listener = ingress.listener
             loop = asyncio.get_running_loop()
             listener.is_accept_paused = True
@@ -181,18 +212,18 @@
             await drained
             assert listener.sock.fileno() < 0
 
-    run(body())
+    run_async_test(body())
 
 
 def test_wait_until_drained_ends_at_its_deadline() -> None:
     async def body() -> None:
-        async with serving(config()) as (ingress, address):
-            caller = await Caller.to(address)
-            assert await caller.ask(resp(b"PING")) == b"PONG"
+        async with running_ingress(make_config()) as (ingress, address):
+            caller = await RespClient.connect(address)
+            assert await caller.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
             loop = asyncio.get_running_loop()
             deadline = loop.time() + 0.1
             await ingress.listener.wait_until_drained(deadline)
             assert loop.time() >= deadline - 0.005
             assert len(ingress.listener.connections) == 1
 
-    run(body())
+    run_async_test(body())
--- a/tests/downstream/test_listener.py
+++ b/tests/downstream/test_listener.py
@@ -9,41 +9,55 @@
 
 import ingress.interface as api
 from ingress.downstream import idle_connections, timeouts
-from tests.support.ingress import client_connections, script_gateway, send_to_s1, serving
-from tests.support.peers import Caller, backend, command, config, entry, resp, run, until
+from tests.support.ingress import (
+    install_scripted_gateway,
+    running_ingress,
+    send_to_s1,
+    wait_for_client_connections,
+)
+from tests.support.peers import (
+    RespClient,
+    encode_resp_array,
+    make_command,
+    make_config,
+    make_endpoint_entry,
+    run_async_test,
+    scripted_backend,
+    wait_until,
+)
 
 
 def test_idle_connection_is_evicted_at_the_connection_limit() -> None:
     async def body() -> None:
-        async with serving(config()) as (ingress, address):
+        async with running_ingress(make_config()) as (ingress, address):
             ingress.listener.max_connections = 3  # one slot is kept free for new connections
-            callers = [await Caller.to(address) for _ in range(2)]
+            callers = [await RespClient.connect(address) for _ in range(2)]
             for caller in callers:
-                assert await caller.ask(resp(b"PING")) == b"PONG"
-            third = await Caller.to(address)
-            assert await third.ask(resp(b"PING")) == b"PONG"
+                assert await caller.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
+            third = await RespClient.connect(address)
+            assert await third.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
             with pytest.raises(EOFError):
-                await callers[0].answer()
-            assert await callers[1].ask(resp(b"PING")) == b"PONG"
+                await callers[0].read_reply()
+            assert await callers[1].send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
 
-    run(body())
+    run_async_test(body())
 
 
 def test_connection_just_accepted_is_not_evicted() -> None:
     """With many clients of one connection each, new connections wait in the backlog and none is closed."""
 
     async def body() -> None:
-        async with serving(config()) as (ingress, address):
+        async with running_ingress(make_config()) as (ingress, address):
             ingress.listener.max_connections = 10
-            script_gateway(ingress, lambda e: [api.Reject(e.id)])
-            callers = [await Caller.to(address) for _ in range(60)]
+            install_scripted_gateway(ingress, lambda e: [api.Reject(e.id)])
+            callers = [await RespClient.connect(address) for _ in range(60)]
             for n, caller in enumerate(callers):
-                caller.writer.write(command(str(n)))
+                caller.writer.write(make_command(str(n)))
             for caller in callers:
-                assert str(await caller.answer()) == "BUSY"
+                assert str(await caller.read_reply()) == "BUSY"
                 caller.writer.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_silent_clients_do_not_lock_out_other_clients(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -51,20 +65,20 @@
     monkeypatch.setattr(idle_connections, "MIN_NEW_CONNECTION_AGE_S", 0.0)
 
     async def body() -> None:
-        async with serving(config()) as (ingress, address):
+        async with running_ingress(make_config()) as (ingress, address):
             ingress.listener.max_connections = 40
-            active = await Caller.to(address)
-            assert await active.ask(resp(b"PING")) == b"PONG"
-            silent = [await Caller.to(address) for _ in range(200)]
-            later = await Caller.to(address)
+            active = await RespClient.connect(address)
+            assert await active.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
+            silent = [await RespClient.connect(address) for _ in range(200)]
+            later = await RespClient.connect(address)
             for _ in range(3):
-                assert await later.ask(resp(b"PING")) == b"PONG"
-                assert await active.ask(resp(b"PING")) == b"PONG"
+                assert await later.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
+                assert await active.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
             assert len(ingress.listener.connections) <= 40
             for caller in silent:
                 caller.writer.close()
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("how", ["drain", "idle", "room"])
@@ -72,13 +86,16 @@
     """Closing a connection with an unread request in the socket would reset it and lose the request."""
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
+        async with (
+            scripted_backend() as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
             sock = socket.create_connection(address)
-            sock.sendall(resp(b"PING"))
-            [client] = await client_connections(ingress, 1)
-            await until(lambda: client in ingress.listener.idle_connections.answered)
+            sock.sendall(encode_resp_array(b"PING"))
+            [client] = await wait_for_client_connections(ingress, 1)
+            await wait_until(lambda: client in ingress.listener.idle_connections.answered)
             # The command stays unread in the socket, since the event loop does not run before the close.
-            sock.sendall(command("late"))
+            sock.sendall(make_command("late"))
             if how == "drain":
                 ingress.listener.drain()
             elif how == "idle":
@@ -92,27 +109,30 @@
                 assert chunk
             sock.close()
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("how", ["drain", "room"])
 def test_partial_request_keeps_its_connection_open(how: str) -> None:
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
-            caller = await Caller.to(address)
-            assert await caller.ask(resp(b"PING")) == b"PONG"
-            text = command("whole")
+        async with (
+            scripted_backend() as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
+            caller = await RespClient.connect(address)
+            assert await caller.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
+            text = make_command("whole")
             caller.writer.write(text[:50])
-            [client] = await client_connections(ingress, 1)
-            await until(lambda: client.buffer)
+            [client] = await wait_for_client_connections(ingress, 1)
+            await wait_until(lambda: client.buffer)
             if how == "drain":
                 ingress.listener.drain()
             else:
                 ingress.listener.evict_connection()
-            assert await caller.ask(text[50:]) == b"whole"
+            assert await caller.send_and_read_reply(text[50:]) == b"whole"
             assert how == "room" or await caller.closes_without_reset()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_unsent_reply_keeps_its_connection_from_eviction() -> None:
@@ -120,14 +140,17 @@
     value = b"*3\r\n$1000000\r\n" + b"v" * 1_000_000 + b"\r\n$-1\r\n$-1\r\n"
 
     async def body() -> None:
-        async with backend(value) as peer, serving(config(entry(peer.address))) as (ingress, address):
-            script_gateway(ingress, send_to_s1)
+        async with (
+            scripted_backend(value) as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
+            install_scripted_gateway(ingress, send_to_s1)
             sock = socket.socket()
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.connect(address)
-            sock.sendall(b"".join(command(str(n)) for n in range(size // 1_000_000)))
-            [client] = await client_connections(ingress, 1)
-            await until(
+            sock.sendall(b"".join(make_command(str(n)) for n in range(size // 1_000_000)))
+            [client] = await wait_for_client_connections(ingress, 1)
+            await wait_until(
                 lambda: client.write_blocked_since and not ingress.requests and not client.pending_replies
             )
             ingress.listener.evict_connection()
@@ -139,4 +162,4 @@
                 received += len(chunk)
             sock.close()
 
-    run(body())
+    run_async_test(body())
--- a/tests/network/test_frames.py
+++ b/tests/network/test_frames.py
@@ -4,7 +4,7 @@
 
 import pytest
 
-from ingress.network.frames import INCOMPLETE, FrameError, array_end
+from ingress.network.frames import INCOMPLETE, FrameError, find_array_end
 
 ITEMS = b"*2\r\n$2\r\nab\r\n$0\r\n\r\n"
 WITH_NULL = b"*2\r\n$-1\r\n$2\r\nab\r\n"
@@ -14,7 +14,7 @@
 
 
 def find_end(data: bytes | bytearray, start: int = 0, allow_null: bool = False) -> int:
-    return array_end(data, start, MAX_ITEMS, MAX_ITEM_BYTES, MAX_ARRAY_BYTES, allow_null)
+    return find_array_end(data, start, MAX_ITEMS, MAX_ITEM_BYTES, MAX_ARRAY_BYTES, allow_null)
 
 
 @pytest.mark.parametrize("kind", [bytes, bytearray])
--- a/tests/process/test_configuration.py
+++ b/tests/process/test_configuration.py
@@ -12,11 +12,11 @@
 
 from ingress.process.configuration import ConfigurationError, read_config
 from tests.support.paths import ROOT
-from tests.support.peers import SETTINGS, config_text, entry
+from tests.support.peers import WIRE_SETTINGS, make_config_text, make_endpoint_entry
 
 
 def test_valid_configuration_is_read() -> None:
-    config = read_config(config_text(entry(("127.0.0.1", 6379)), listen="127.0.0.1:6380"))
+    config = read_config(make_config_text(make_endpoint_entry(("127.0.0.1", 6379)), listen="127.0.0.1:6380"))
     assert config.listen == ("127.0.0.1", 6380)
     assert config.seed == 0x8C1F30D27A5BE964
     assert config.client_sockets + config.backend_sockets < 1024
@@ -44,14 +44,14 @@
         ({"limits": {"sockets": 5}}, "sockets"),
         ({"known": {"version": 1}}, "known"),
         ({"settings": None}, "settings"),
-        ({"settings": {k: v for k, v in SETTINGS.items() if k != "contracts"}}, "contracts"),
-        ({"settings": SETTINGS | {"family-info": {"counter": True}}}, "counter"),
-        ({"settings": SETTINGS | {"limits": {"keepalive-s": 0}}}, "keepalive-s"),
+        ({"settings": {k: v for k, v in WIRE_SETTINGS.items() if k != "contracts"}}, "contracts"),
+        ({"settings": WIRE_SETTINGS | {"family-info": {"counter": True}}}, "counter"),
+        ({"settings": WIRE_SETTINGS | {"limits": {"keepalive-s": 0}}}, "keepalive-s"),
     ],
 )
 def test_error_message_names_the_invalid_key(changes: dict[str, Any], key: str) -> None:
     with pytest.raises(ConfigurationError) as caught:
-        read_config(config_text(**changes))
+        read_config(make_config_text(**changes))
     assert key in str(caught.value)
     assert "\n" not in str(caught.value)
 
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "key"), [(None, "EDGE_CONFIG"), ("{", "EDGE_CONFIG"), (config_text(seed="xyz"), "seed")]
+    ("text", "key"), [(None, "EDGE_CONFIG"), ("{", "EDGE_CONFIG"), (make_config_text(seed="xyz"), "seed")]
 )
 def test_program_exits_with_one_line_that_names_the_invalid_key(
     text: str | None, key: str, tmp_path: Path
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -9,71 +9,77 @@
 from pathlib import Path
 
 from tests.support.peers import (
-    SETTINGS,
+    WIRE_SETTINGS,
     Address,
-    Caller,
-    Peer,
     Reader,
+    RespClient,
+    ScriptedServer,
     Writer,
-    backend,
-    command,
-    entry,
-    resp,
-    run,
+    encode_resp_array,
+    make_command,
+    make_endpoint_entry,
+    run_async_test,
+    scripted_backend,
 )
-from tests.support.process import free_port, listening
+from tests.support.process import find_free_port, listening_process
 
 MAX_DESCRIPTORS = 96  # file descriptor limit of the program
 IDLE_CLIENT_COUNT = 3 * MAX_DESCRIPTORS
 RESERVED_DESCRIPTORS = 24  # for the watch, the counter and backends; clients must leave them free
-SETTINGS_WITH_COUNTER = SETTINGS | {
+SETTINGS_WITH_COUNTER = WIRE_SETTINGS | {
     "contracts": [{"name": "basic", "refill": 1.0, "burst": 1.2}],
     "family-info": {"counter": True, "count-wait-s": 1.0, "most-units": 8},
 }
 
 
-def echoing_counter() -> Peer:
+def echoing_counter() -> ScriptedServer:
     """Return a counter that answers each call with the amount that the call adds."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while line := await reader.readline():
-            peer.commands.append(line.split())
+            peer.received_commands.append(line.split())
             writer.write(b"ok %b\r\n" % line.split()[2])
 
-    peer = Peer(script)
+    peer = ScriptedServer(script)
     return peer
 
 
-def agent_with_list(endpoint_list: bytes, port: int) -> Peer:
+def agent_with_list(endpoint_list: bytes, port: int) -> ScriptedServer:
     """Return a discovery agent that answers with the endpoint list first, and then with no change."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
-            peer.commands.append(head.split(b" ")[:2])
-            if len(peer.commands) > 1:
+            peer.received_commands.append(head.split(b" ")[:2])
+            if len(peer.received_commands) > 1:
                 await asyncio.sleep(0.5)
-            body = endpoint_list if len(peer.commands) == 1 else b'{"version":2,"full":false,"servers":[]}'
+            body = (
+                endpoint_list
+                if len(peer.received_commands) == 1
+                else b'{"version":2,"full":false,"servers":[]}'
+            )
             writer.write(b"HTTP/1.1 200 OK\r\nContent-Length: %d\r\n\r\n%b" % (len(body), body))
 
-    peer = Peer(script, port)
+    peer = ScriptedServer(script, port)
     return peer
 
 
-async def request_until_served(address: Address, counter_peer: Peer) -> None:
+async def request_until_served(address: Address, counter_peer: ScriptedServer) -> None:
     """Send requests until one is served, which needs the endpoint list, and the counter has been called."""
     customer = 0
     answers = set[bytes | str]()
-    while b"00000000000000aa" not in answers or not counter_peer.commands:
+    while b"00000000000000aa" not in answers or not counter_peer.received_commands:
         customer += 1
         with suppress(EOFError, ConnectionError):
-            caller = await Caller.to(address)
-            answers.add(await caller.ask(command(customer=customer)))
+            caller = await RespClient.connect(address)
+            answers.add(await caller.send_and_read_reply(make_command(customer=customer)))
         await asyncio.sleep(0.05)
 
 
 async def ping_on_new_connection(address: Address) -> None:
     """Open a connection and wait for the answer to a PING."""
-    assert await (await Caller.to(address)).ask(resp(b"PING")) == b"PONG"
+    assert (
+        await (await RespClient.connect(address)).send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
+    )
 
 
 def count_descriptors(process: asyncio.subprocess.Process) -> int:
@@ -83,13 +89,13 @@
 
 def test_idle_clients_leave_descriptors_for_discovery_counter_and_backends(tmp_path: Path) -> None:
     async def body() -> None:
-        agent_address = ("127.0.0.1", free_port())
+        agent_address = ("127.0.0.1", find_free_port())
         async with (
-            backend() as backend_peer,
+            scripted_backend() as backend_peer,
             echoing_counter() as counter_peer,
-            listening(
+            listening_process(
                 tmp_path,
-                descriptors=MAX_DESCRIPTORS,
+                max_descriptors=MAX_DESCRIPTORS,
                 discovery=f"127.0.0.1:{agent_address[1]}",
                 settings=SETTINGS_WITH_COUNTER,
                 counter="{}:{}".format(*counter_peer.address),
@@ -97,9 +103,9 @@
             ) as (process, address),
         ):
             endpoint_list = json.dumps(
-                {"version": 2, "full": True, "servers": [entry(backend_peer.address)]}
+                {"version": 2, "full": True, "servers": [make_endpoint_entry(backend_peer.address)]}
             ).encode()
-            idle_clients = [await Caller.to(address) for _ in range(IDLE_CLIENT_COUNT)]
+            idle_clients = [await RespClient.connect(address) for _ in range(IDLE_CLIENT_COUNT)]
             # The ping is answered after the idle connections, which are in front of it in the backlog.
             ping_task = asyncio.create_task(ping_on_new_connection(address))
             while not ping_task.done():
@@ -107,10 +113,10 @@
                 await asyncio.sleep(0.01)
             async with agent_with_list(endpoint_list, agent_address[1]):
                 await request_until_served(address, counter_peer)
-            assert counter_peer.commands
-            assert backend_peer.commands
+            assert counter_peer.received_commands
+            assert backend_peer.received_commands
             assert process.returncode is None
             for client in idle_clients:
                 client.writer.close()
 
-    run(body())
+    run_async_test(body())
--- a/tests/process/test_ingress.py
+++ b/tests/process/test_ingress.py
@@ -9,20 +9,20 @@
 import ingress.interface as api
 from ingress.process import ingress as ingress_module
 from ingress.process.ingress import Ingress
-from tests.support.ingress import script_gateway, send_to_s1, serving
+from tests.support.ingress import install_scripted_gateway, running_ingress, send_to_s1
 from tests.support.peers import (
-    Caller,
-    Peer,
     Reader,
+    RespClient,
+    ScriptedServer,
     Writer,
-    backend,
-    command,
-    config,
-    entry,
+    encode_value_reply,
+    make_command,
+    make_config,
+    make_endpoint_entry,
     read_command,
-    run,
-    until,
-    value,
+    run_async_test,
+    scripted_backend,
+    wait_until,
 )
 
 
@@ -31,45 +31,48 @@
 
     async def body() -> None:
         monkeypatch.setattr(ingress_module, "STARTUP_PAUSE_S", 3600.0)
-        ingress = Ingress(config())
+        ingress = Ingress(make_config())
         address = ingress.listener.sock.getsockname()
         task = asyncio.create_task(ingress.run(asyncio.Event()))
         await asyncio.sleep(0)
         with pytest.raises(ConnectionRefusedError):
-            await Caller.to(address)
+            await RespClient.connect(address)
         assert ingress.watch is None
         task.cancel()
         ingress.listener.close()
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("body", [b"x", bytes(range(256)) * 256])
 def test_value_is_forwarded_unchanged(body: bytes) -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         arguments = await read_command(reader)
-        peer.commands.append(arguments)
-        writer.write(value(arguments[4]))
+        peer.received_commands.append(arguments)
+        writer.write(encode_value_reply(arguments[4]))
         await reader.read()
 
     async def scenario() -> None:
-        async with peer, serving(config(entry(peer.address))) as (_, address):
-            caller = await Caller.to(address)
-            assert await caller.ask(command(cls="order", body=body)) == body
-            [arguments] = peer.commands
+        async with peer, running_ingress(make_config(make_endpoint_entry(peer.address))) as (_, address):
+            caller = await RespClient.connect(address)
+            assert await caller.send_and_read_reply(make_command(class_name="order", body=body)) == body
+            [arguments] = peer.received_commands
             assert arguments[0] == b"API.WRITE"
             assert arguments[1] == b"%016x" % 7
             assert b"k=0123456789abcdef" in arguments[3].split(b",")
 
-    peer = Peer(script)
-    run(scenario())
+    peer = ScriptedServer(script)
+    run_async_test(scenario())
 
 
 def test_exception_in_the_decision_module_fails_only_one_request(caplog: pytest.LogCaptureFixture) -> None:
     """The actions from before the exception are executed, in particular the module's next timer."""
 
     async def body() -> None:
-        async with backend() as peer, serving(config(entry(peer.address))) as (ingress, address):
+        async with (
+            scripted_backend() as peer,
+            running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
+        ):
 
             def decide(event: api.Event) -> list[api.Action]:
                 if isinstance(event, api.Request) and event.customer.endswith("9"):
@@ -77,14 +80,14 @@
                     raise RuntimeError("a fault")
                 return send_to_s1(event)
 
-            gateway = script_gateway(ingress, decide)
-            caller = await Caller.to(address)
-            caller.writer.write(command("one") + command("two", customer=9) + command("three"))
-            assert await caller.answer() == b"one"
-            assert str(await caller.answer()) == "ERR failed"
-            assert await caller.answer() == b"three"
-            await until(lambda: gateway.events_of(api.TimerFired))
-            await until(lambda: not ingress.requests)
+            gateway = install_scripted_gateway(ingress, decide)
+            caller = await RespClient.connect(address)
+            caller.writer.write(make_command("one") + make_command("two", customer=9) + make_command("three"))
+            assert await caller.read_reply() == b"one"
+            assert str(await caller.read_reply()) == "ERR failed"
+            assert await caller.read_reply() == b"three"
+            await wait_until(lambda: gateway.get_events_of_type(api.TimerFired))
+            await wait_until(lambda: not ingress.requests)
 
-    run(body())
+    run_async_test(body())
     assert sum("decision module failed" in record.getMessage() for record in caplog.records) == 1
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -8,8 +8,15 @@
 import pytest
 
 from ingress.process import shutdown
-from tests.support.ingress import serving_until_stopped
-from tests.support.peers import backend, command, config, entry, run, until
+from tests.support.ingress import running_ingress_until_stopped
+from tests.support.peers import (
+    make_command,
+    make_config,
+    make_endpoint_entry,
+    run_async_test,
+    scripted_backend,
+    wait_until,
+)
 
 
 def test_request_received_after_the_last_answers_is_rejected_and_not_lost(
@@ -23,16 +30,20 @@
 
     async def body() -> None:
         async with (
-            backend(b"") as peer,
-            serving_until_stopped(config(entry(peer.address))) as (ingress, address, stop),
+            scripted_backend(b"") as peer,
+            running_ingress_until_stopped(make_config(make_endpoint_entry(peer.address))) as (
+                ingress,
+                address,
+                stop,
+            ),
         ):
             sock = socket.create_connection(address)
-            sock.sendall(command("open"))
-            await until(lambda: peer.commands)
+            sock.sendall(make_command("open"))
+            await wait_until(lambda: peer.received_commands)
             close_listener = ingress.listener.close
 
             def send_and_close() -> None:
-                sock.sendall(command("late"))  # unread in the socket when the connections are closed
+                sock.sendall(make_command("late"))  # unread in the socket when the connections are closed
                 close_listener()
 
             monkeypatch.setattr(ingress.listener, "close", send_and_close)
@@ -43,6 +54,6 @@
                 received += chunk
             assert received == b"-ERR failed\r\n-BUSY\r\n"
             sock.close()
-            assert len(peer.commands) == 1
+            assert len(peer.received_commands) == 1
 
-    run(body())
+    run_async_test(body())
--- a/tests/scale/experiment/test_change_delays.py
+++ b/tests/scale/experiment/test_change_delays.py
@@ -4,11 +4,11 @@
 
 from scale.experiment.change_delays import measure_change_delays
 from scale.experiment.messages import Incarnation
-from scale.standins.registry import Published
+from scale.standins.registry import PublishedChange
 
 
 def test_delay_is_measured_at_each_ingress_that_runs_when_the_change_is_published() -> None:
-    published = [Published(2, 10.0, ()), Published(3, 20.0, ())]
+    published = [PublishedChange(2, 10.0, ()), PublishedChange(3, 20.0, ())]
     incarnations = [
         Incarnation(number=0, started=0.0, acted=[(2, 10.5), (3, 21.0)]),
         Incarnation(number=1, started=0.0, ended=12.0, acted=[]),  # left out: ended before it acted
@@ -22,5 +22,5 @@
 
 def test_change_is_missing_when_a_running_ingress_never_acts_on_it() -> None:
     incarnation = Incarnation(number=0, started=0.0, acted=[(1, 11.0)])
-    delays = measure_change_delays([Published(2, 10.0, ())], [incarnation], observed_until=40.0)
+    delays = measure_change_delays([PublishedChange(2, 10.0, ())], [incarnation], observed_until=40.0)
     assert (delays.delays, delays.missing_count, delays.in_force_share) == ([], 1, 0.0)
--- a/tests/scale/experiment/test_run_smoke.py
+++ b/tests/scale/experiment/test_run_smoke.py
@@ -14,7 +14,7 @@
 from scale import budget
 from scale.cli import main
 from scale.commands.run import VIOLATION_MEASURES
-from scale.results import load_all
+from scale.results import load_results
 
 SMOKE_SCENARIO = Path(budget.__file__).parent / "scenarios" / "smoke.toml"
 REAL_COMMAND = f"exec {sys.executable} -m ingress"
@@ -39,7 +39,7 @@
     )
     assert result.exit_code == 0, result.output
     assert set(psutil.Process().children(recursive=True)) == children_before
-    (saved,) = load_all(tmp_path)
+    (saved,) = load_results(tmp_path)
     (point,) = saved.points
     assert (saved.kind, saved.name) == ("run", "smoke")
     assert point.sizes["ingresses"] == 9
@@ -103,7 +103,7 @@
         ],
     )
     assert result.exit_code == 1
-    (saved,) = load_all(tmp_path / "results")
+    (saved,) = load_results(tmp_path / "results")
     assert saved.points[0].measures["real_died"] == 1
     assert saved.points[0].measures["lost"] >= 1
 
--- a/tests/scale/report/saved_sweeps.py
+++ b/tests/scale/report/saved_sweeps.py
@@ -5,7 +5,7 @@
 from datetime import UTC, datetime, timedelta
 from pathlib import Path
 
-from scale.results import Environment, Point, Result, save
+from scale.results import Environment, Point, Result, save_result
 
 SIZES = (10.0, 50.0, 100.0, 500.0, 1000.0)
 FIRST_TAKEN_AT = datetime(2026, 1, 1, tzinfo=UTC)
@@ -29,7 +29,7 @@
     points = [
         Point(sizes={name: size}, measures={measure: cost}) for size, cost in zip(SIZES, costs, strict=True)
     ]
-    return save(
+    return save_result(
         Result(
             kind="slopes",
             name=name,
--- a/tests/scale/report/test_figures.py
+++ b/tests/scale/report/test_figures.py
@@ -14,8 +14,8 @@
     assert combine(add, computed_figure(1), extrapolated) == Figure(Mark.EXTRAPOLATED, 3, 2, 4, ("a.json",))
     assert combine(add, extrapolated, MISSING) == MISSING
     assert extrapolated.map(lambda value: 6 / value) == Figure(Mark.EXTRAPOLATED, 3, 2, 6, ("a.json",))
-    assert extrapolated.text("ms") == "2 ms (1 to 3)"
-    assert MISSING.text("ms") == "not measured"
+    assert extrapolated.format("ms") == "2 ms (1 to 3)"
+    assert MISSING.format("ms") == "not measured"
 
 
 @pytest.mark.parametrize(
--- a/tests/scale/report/test_versions.py
+++ b/tests/scale/report/test_versions.py
@@ -19,7 +19,7 @@
     assert sweep.before is not None
     assert sweep.before.file_name == again.name
     assert sweep.after.file_name == new.name
-    assert sweep.after.version == "bbbbbbb with uncommitted changes"
+    assert sweep.after.commit_label == "bbbbbbb with uncommitted changes"
 
 
 def test_order_file_takes_precedence_over_order_of_runs(tmp_path: Path) -> None:
@@ -36,7 +36,7 @@
 def test_single_commit_has_no_before(tmp_path: Path) -> None:
     write_sweep(tmp_path, OLD_COMMIT, 0, [1.0] * 5)
     evidence = Evidence(read_selected_runs(tmp_path))
-    assert evidence.at_target("backends", "change_cpu_us", "before") == MISSING
+    assert evidence.estimate_at_target("backends", "change_cpu_us", "before") == MISSING
 
 
 def test_no_saved_results_select_no_runs(tmp_path: Path) -> None:
--- a/tests/scale/standins/test_agent.py
+++ b/tests/scale/standins/test_agent.py
@@ -10,7 +10,7 @@
 
 from scale.standins.agent import Agent, AgentMode
 from scale.standins.registry import Entry, Registry
-from tests.support.peers import run, until
+from tests.support.peers import run_async_test, wait_until
 
 Stream = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
@@ -41,7 +41,7 @@
         assert complete_list["full"]
         assert [row["id"] for row in complete_list["servers"]] == ["b1", "b2"]
         call = asyncio.create_task(call_agent(stream, f"?after={complete_list['version']}&wait_ms=60000"))
-        await until(lambda: any(c.is_call_pending for c in agent.connections))
+        await wait_until(lambda: any(c.is_call_pending for c in agent.connections))
         agent.publish(make_entry("b2", state="draining"))
         update = await call
         assert not update["full"]
@@ -59,7 +59,7 @@
         assert (counts.calls, counts.whole_lists) == (4, 2)
         agent.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_long_poll_is_answered_after_its_wait_without_a_change() -> None:
@@ -69,23 +69,23 @@
         assert (await call_agent(stream, "?after=1&wait_ms=1"))["servers"] == []
         agent.close()
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("after", [-1, 7])
 def test_call_with_a_version_outside_the_kept_changes_gets_the_complete_list(after: int) -> None:
     registry = Registry([make_entry("b1")])
     registry.publish([make_entry("b2")])
-    assert json.loads(registry.body(after))["full"]
+    assert json.loads(registry.encode_answer(after))["full"]
 
 
 def test_calls_with_the_same_version_share_one_encoded_answer() -> None:
     registry = Registry([make_entry("b1")])
     registry.publish([make_entry("b2")])
-    assert registry.body(1) is registry.body(1)
-    old_answer = registry.body(1)
+    assert registry.encode_answer(1) is registry.encode_answer(1)
+    old_answer = registry.encode_answer(1)
     registry.publish([make_entry("b3")])
-    assert registry.body(1) != old_answer
+    assert registry.encode_answer(1) != old_answer
 
 
 def test_agent_that_is_down_is_silent_or_refuses_calls() -> None:
@@ -96,14 +96,14 @@
         assert await call_agent(stream) == 503
         agent.set_mode(AgentMode.SILENT)
         call = asyncio.create_task(call_agent(stream))
-        await until(lambda: any(c.is_call_pending for c in agent.connections))
+        await wait_until(lambda: any(c.is_call_pending for c in agent.connections))
         agent.publish(make_entry("b2"))
         assert not call.done()
         agent.set_mode(AgentMode.UP)
         assert {row["id"] for row in (await call)["servers"]} == {"b1", "b2"}
         agent.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_moved_listener_resets_its_connections_and_serves_at_its_new_address() -> None:
@@ -117,7 +117,7 @@
         assert (await call_agent(await asyncio.open_connection(*address)))["full"]
         agent.close()
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize(
@@ -132,4 +132,4 @@
         assert (await reader.read()).startswith(b"HTTP/1.1 400 ")
         agent.close()
 
-    run(body())
+    run_async_test(body())
--- a/tests/scale/standins/test_arrivals.py
+++ b/tests/scale/standins/test_arrivals.py
@@ -7,7 +7,7 @@
 from scale.standins.arrivals import Arrivals
 from scale.standins.traffic import DrawnRequest
 from tests.scale.standins.scenarios import small_scenario
-from tests.support.peers import run, until
+from tests.support.peers import run_async_test, wait_until
 
 
 async def collect_first_requests(count: int) -> list[DrawnRequest]:
@@ -15,7 +15,7 @@
     arrivals = Arrivals(small_scenario(), 1, 5_000.0, random.Random(7), requests.append)
     arrivals.start()
     assert arrivals.is_running
-    await until(lambda: len(requests) >= count)
+    await wait_until(lambda: len(requests) >= count)
     arrivals.stop()
     assert not arrivals.is_running
     return requests[:count]
@@ -25,7 +25,7 @@
     async def body() -> None:
         assert await collect_first_requests(10) == await collect_first_requests(10)
 
-    run(body())
+    run_async_test(body())
 
 
 def test_no_request_arrives_at_a_rate_of_0() -> None:
@@ -34,4 +34,4 @@
         arrivals.start()
         assert not arrivals.is_running
 
-    run(body())
+    run_async_test(body())
--- a/tests/scale/standins/test_clients.py
+++ b/tests/scale/standins/test_clients.py
@@ -8,13 +8,21 @@
 
 from scale.standins.clients import Client, ping
 from tests.scale.standins.scenarios import small_scenario
-from tests.support.peers import Peer, Reader, Writer, read_command, run, until, value
+from tests.support.peers import (
+    Reader,
+    ScriptedServer,
+    Writer,
+    encode_value_reply,
+    read_command,
+    run_async_test,
+    wait_until,
+)
 
 REPLIES: list[tuple[bytes | None, str]] = [
     (None, "served"),
     (b"-BUSY 20\r\n", "refused"),
     (b"-ERR failed\r\n", "failed"),
-    (value(b"0000000000000000:12"), "wrong"),
+    (encode_value_reply(b"0000000000000000:12"), "wrong"),
     (b"", "lost"),
 ]
 
@@ -28,67 +36,67 @@
 
     async def serve_connection(_: int, reader: Reader, writer: Writer) -> None:
         while arguments := await read_command(reader):
-            writer.write(value(arguments[2] + b":1500") if reply is None else reply)
+            writer.write(encode_value_reply(arguments[2] + b":1500") if reply is None else reply)
             if reply == b"":
                 return
 
     async def body() -> None:
-        async with Peer(serve_connection) as peer:
+        async with ScriptedServer(serve_connection) as peer:
             client = Client(small_scenario(requests_per_s=1000.0), 1, peer.address, seed=1)
             client.start()
-            await until(lambda: client.measures.counts.requests)
+            await wait_until(lambda: client.measures.counts.requests)
             client.stop()
-            await until(lambda: not client.has_open_requests)
+            await wait_until(lambda: not client.has_open_requests)
             assert getattr(client.measures.counts, outcome) == client.measures.counts.requests
 
-    run(body())
+    run_async_test(body())
 
 
 def test_answer_without_a_request_in_flight_counts_as_duplicated() -> None:
     async def serve_connection(_: int, reader: Reader, writer: Writer) -> None:
         arguments = await read_command(reader)
-        writer.write(2 * value(arguments[2] + b":1500"))
+        writer.write(2 * encode_value_reply(arguments[2] + b":1500"))
         await reader.read()
 
     async def body() -> None:
-        async with Peer(serve_connection) as peer:
+        async with ScriptedServer(serve_connection) as peer:
             client = Client(small_scenario(requests_per_s=1000.0), 1, peer.address, seed=1)
             client.start()
-            await until(lambda: client.measures.counts.duplicated)
+            await wait_until(lambda: client.measures.counts.duplicated)
             client.stop()
             assert client.measures.counts.served
 
-    run(body())
+    run_async_test(body())
 
 
 def test_request_on_a_reused_connection_that_closes_is_sent_once_more() -> None:
     async def serve_connection(number: int, reader: Reader, writer: Writer) -> None:
         arguments = await read_command(reader)
-        writer.write(value(arguments[2] + b":1"))
+        writer.write(encode_value_reply(arguments[2] + b":1"))
         while arguments := await read_command(reader):
             if number == 0:
                 return
-            writer.write(value(arguments[2] + b":1"))
+            writer.write(encode_value_reply(arguments[2] + b":1"))
 
     async def body() -> None:
-        async with Peer(serve_connection) as peer:
+        async with ScriptedServer(serve_connection) as peer:
             client = Client(small_scenario(requests_per_s=200.0), 1, peer.address, seed=1)
             client.start()
-            await until(lambda: client.measures.counts.served >= 10)
+            await wait_until(lambda: client.measures.counts.served >= 10)
             await client.finish(5.0)
-            assert peer.ended >= 1
+            assert peer.ended_connection_count >= 1
             assert (client.measures.counts.lost, client.measures.counts.served) == (
                 0,
                 client.measures.counts.requests,
             )
 
-    run(body())
+    run_async_test(body())
 
 
 def test_ping_fails_if_nothing_listens_at_the_address() -> None:
     async def body() -> None:
-        async with Peer(lambda *_: asyncio.sleep(0)) as peer:
+        async with ScriptedServer(lambda *_: asyncio.sleep(0)) as peer:
             address = peer.address
         assert not await ping(address)
 
-    run(body())
+    run_async_test(body())
--- a/tests/scale/standins/test_counter.py
+++ b/tests/scale/standins/test_counter.py
@@ -8,7 +8,7 @@
 
 from scale.standins.counter import CounterServer
 from scale.standins.counter_parts import CounterPart
-from tests.support.peers import run, until
+from tests.support.peers import run_async_test, wait_until
 
 Stream = tuple[asyncio.StreamReader, asyncio.StreamWriter]
 
@@ -30,7 +30,7 @@
         assert (counter.counts.calls, counter.counts.answered) == (5, 5)
         counter.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_total_of_a_name_restarts_at_0_after_its_lifetime() -> None:
@@ -39,11 +39,11 @@
         stream = await asyncio.open_connection(*await counter.listen())
         await call_counter(stream, b"add 7 2 1")
         expires_at = counter.parts[0].totals[b"7"].expires_at
-        await until(lambda: counter.loop.time() > expires_at)
+        await wait_until(lambda: counter.loop.time() > expires_at)
         assert await call_counter(stream, b"add 7 1 1000") == b"ok 1"
         counter.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_part_accepts_as_many_calls_as_its_queue_holds() -> None:
@@ -72,7 +72,7 @@
         assert (counter.counts.answered, counter.counts.busy) == (0, 10)
         counter.close()
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize(
@@ -96,4 +96,4 @@
         assert not counter.parts[0].totals
         counter.close()
 
-    run(body())
+    run_async_test(body())
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -10,13 +10,13 @@
 
 import ingress.interface as api
 from scale.experiment.messages import HollowReport, StartHollow
-from scale.experiment.worker import Worker, read_known
+from scale.experiment.worker import Worker, decode_known_endpoints
 from scale.hollow import ingress as hollow_ingress
 from scale.scenario import Scenario
 from scale.standins.agent import Agent
 from scale.standins.counter import CounterServer
 from scale.standins.registry import Entry, Registry
-from tests.support.peers import run, until
+from tests.support.peers import run_async_test, wait_until
 
 SCENARIO = Scenario.model_validate(
     {
@@ -68,7 +68,7 @@
         numbers=[0],
         agent=await agent.listen("hollow"),
         counter=await counter.listen(),
-        known=agent.registry.body(None).decode(),
+        known=agent.registry.encode_answer(None).decode(),
     )
     worker = Worker(start)
     await worker.start()
@@ -95,13 +95,13 @@
 async def run_ingress(scenario: Scenario = SCENARIO) -> tuple[HollowReport, Agent]:
     """Run one hollow ingress for some requests and one list change; return its report and the agent."""
     async with start_worker(scenario) as (worker, agent):
-        worker.load()
-        await until(
-            lambda: worker.world.counts["requests"] >= 20
+        worker.start_load()
+        await wait_until(
+            lambda: worker.state.counts["requests"] >= 20
             and any(c.is_call_pending for c in agent.connections)
         )
         agent.publish(NEW_ENTRY)
-        await until(lambda: worker.ingresses[0].incarnation.acted)
+        await wait_until(lambda: worker.ingresses[0].incarnation.acted)
         return await worker.finish(), agent
 
 
@@ -127,7 +127,7 @@
         assert counts.get("duplicated", 0) == (counts["requests"] if decide is reject_twice else 0)
         assert counts["lost"] == 0
 
-    run(body())
+    run_async_test(body())
 
 
 def test_each_request_gets_one_final_answer_from_the_decision_module() -> None:
@@ -140,41 +140,41 @@
         assert counts["served"] >= 1
         assert (counts.get("duplicated", 0), counts["lost"]) == (0, 0)
 
-    run(body())
+    run_async_test(body())
 
 
 def test_change_counts_as_acted_on_after_the_module_has_received_it() -> None:
     async def body() -> None:
         report, agent = await run_ingress()
         (incarnation,) = report.incarnations
-        (change,) = agent.published
+        (change,) = agent.published_changes
         assert [version for version, _ in incarnation.acted] == [change.version]
-        assert incarnation.started <= change.at <= incarnation.acted[0][1]
+        assert incarnation.started <= change.published_at <= incarnation.acted[0][1]
 
-    run(body())
+    run_async_test(body())
 
 
 def test_restarted_ingress_is_a_new_incarnation_that_starts_with_the_known_list() -> None:
     async def body() -> None:
         async with start_worker(SCENARIO) as (worker, agent):
             agent.publish(NEW_ENTRY)
-            await until(lambda: worker.ingresses[0].incarnation.acted)
+            await wait_until(lambda: worker.ingresses[0].incarnation.acted)
             await worker.restart([0])
-            await until(lambda: worker.ingresses[0].incarnation.acted)
+            await wait_until(lambda: worker.ingresses[0].incarnation.acted)
             report = await worker.finish()
             assert [incarnation.acted[-1][0] for incarnation in report.incarnations] == [2, 2]
             assert report.incarnations[0].ended is not None
             assert report.incarnations[0].ended <= report.incarnations[1].started
             assert agent.counts["hollow"].whole_lists == 0
 
-    run(body())
+    run_async_test(body())
 
 
 def test_known_list_is_decoded_as_the_agent_encodes_it() -> None:
-    known = read_known(Registry(ENTRIES).body(None).decode())
+    known = decode_known_endpoints(Registry(ENTRIES).encode_answer(None).decode())
     assert known.kind is api.EndpointUpdateKind.RESTORED
     assert known.version == 1
     assert known.backends == tuple(
         api.Backend(entry.id, entry.zone, entry.kind, entry.cell) for entry in ENTRIES
     )
-    assert json.loads(Registry(ENTRIES).body(None))["full"]
+    assert json.loads(Registry(ENTRIES).encode_answer(None))["full"]
--- a/tests/scale/test_results.py
+++ b/tests/scale/test_results.py
@@ -9,9 +9,18 @@
 from click.testing import CliRunner
 
 from scale.cli import main
-from scale.environment import UNKNOWN_COMMIT, Observer, commit_of
+from scale.environment import UNKNOWN_COMMIT, MachineObserver, read_commit
 from scale.errors import ScaleError
-from scale.results import Environment, Point, Result, ResultError, ScenarioEvent, load, load_all, save
+from scale.results import (
+    Environment,
+    Point,
+    Result,
+    ResultError,
+    ScenarioEvent,
+    load_result,
+    load_results,
+    save_result,
+)
 
 ENVIRONMENT = Environment(
     cores=4,
@@ -40,16 +49,16 @@
 
 
 def test_saved_result_is_loaded_unchanged(tmp_path: Path) -> None:
-    path = save(make_result(), tmp_path)
+    path = save_result(make_result(), tmp_path)
     assert path.name == "run-zone-lost-0123456-20261202T050000Z.json"
-    assert load(path) == make_result()
+    assert load_result(path) == make_result()
 
 
 def test_results_are_loaded_oldest_first(tmp_path: Path) -> None:
     later = make_result(TAKEN_AT + timedelta(hours=1))
-    save(later, tmp_path)
-    save(make_result(), tmp_path)
-    assert load_all(tmp_path) == [make_result(), later]
+    save_result(later, tmp_path)
+    save_result(make_result(), tmp_path)
+    assert load_results(tmp_path) == [make_result(), later]
 
 
 @pytest.mark.parametrize(
@@ -66,12 +75,12 @@
     path = tmp_path / "slopes-x.json"
     path.write_text(text, encoding="utf-8")
     with pytest.raises(ResultError, match=rf"slopes-x.json: .*{named}") as caught:
-        load(path)
+        load_result(path)
     assert "\n" not in str(caught.value)
 
 
 def test_observer_reports_the_machine_and_the_note() -> None:
-    with Observer("a note") as observer:
+    with MachineObserver("a note") as observer:
         pass
     environment = observer.result()
     assert environment.cores >= 1
@@ -80,13 +89,13 @@
 
 def test_folder_without_the_package_is_rejected(tmp_path: Path) -> None:
     with pytest.raises(ScaleError, match="ingress"):
-        commit_of(tmp_path)
+        read_commit(tmp_path)
 
 
 def test_checkout_with_the_former_package_name_is_rejected(tmp_path: Path) -> None:
     (tmp_path / "mulleinhall").mkdir()
     with pytest.raises(ScaleError, match="from before it became `ingress`"):
-        commit_of(tmp_path)
+        read_commit(tmp_path)
 
 
 def test_copy_without_a_git_repository_has_an_unknown_commit(
@@ -95,7 +104,7 @@
     monkeypatch.setenv("GIT_CEILING_DIRECTORIES", str(tmp_path.parent))
     (tmp_path / "ingress").mkdir()
     (tmp_path / "ingress" / "__init__.py").touch()
-    assert commit_of(tmp_path) == (UNKNOWN_COMMIT, True)
+    assert read_commit(tmp_path) == (UNKNOWN_COMMIT, True)
 
 
 def test_user_error_is_printed_in_one_line(tmp_path: Path) -> None:
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -19,10 +19,10 @@
 from scale.slopes.listing import BackendList, find_decoder
 from scale.slopes.passes.memory import measure_memory
 from scale.slopes.passes.operations import measure_operations
-from scale.slopes.runner import MeasuringChildError, Runner, run_job
+from scale.slopes.runner import MeasuringChildError, SweepRunner, run_job
 from scale.slopes.settings import build_settings
-from scale.slopes.sweeps import SWEEPS, Sweep, build_sizes, quick
-from scale.slopes.tables import sweep_table
+from scale.slopes.sweeps import SWEEPS, Sweep, build_sizes, shorten_sweep
+from scale.slopes.tables import build_sweep_table
 from scale.slopes.tenants import build_demand
 from scale.slopes.traffic import generate_arrivals
 
@@ -47,7 +47,7 @@
 def test_point_holds_the_measures_of_each_pass() -> None:
     sweep = Sweep("smoke", (Pass.TIMES, Pass.MEMORY), (SMALL_SIZES,))
     progress_calls: list[None] = []
-    result = Runner(TOOL_ROOT, 0.1).run(sweep, lambda: progress_calls.append(None))
+    result = SweepRunner(TOOL_ROOT, 0.1).run(sweep, lambda: progress_calls.append(None))
     point = result.points[0]
     assert len(progress_calls) == 2
     assert point.sizes["backends"] == 200
@@ -55,7 +55,7 @@
     assert point.measures["change_samples"] >= 5
     assert point.measures["request_cpu_p99_us"] >= point.measures["request_cpu_p50_us"] > 0
     assert point.measures["memory_per_backend_bytes"] > 0
-    assert sweep_table(result).row_count > 5
+    assert build_sweep_table(result).row_count > 5
 
 
 def test_open_requests_and_tenants_take_memory() -> None:
@@ -84,7 +84,7 @@
         sizes = [getattr(size, name) for size in SWEEPS[name].sizes]
         assert len(set(sizes)) >= 5
         assert max(sizes) >= 95 * min(sizes)
-    assert len(quick(SWEEPS["backends"]).sizes) == 3
+    assert len(shorten_sweep(SWEEPS["backends"]).sizes) == 3
 
 
 def test_demand_is_repeatable_and_requests_come_from_its_tenants() -> None:
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -10,7 +10,7 @@
 from typing import Any
 
 from ingress.discovery.watch import EndpointWatch
-from tests.support.peers import Peer, Reader, Writer
+from tests.support.peers import Reader, ScriptedServer, Writer
 
 LOCAL_ADDRESS = ("127.0.0.1", 6379)
 REJECTION = b"503"
@@ -51,12 +51,12 @@
 ]
 
 
-def list_body(version: int, full: bool, *entries: dict[str, Any]) -> bytes:
+def encode_endpoint_list(version: int, full: bool, *entries: dict[str, Any]) -> bytes:
     """Return the body of a response with these entries."""
     return json.dumps({"version": version, "full": full, "servers": entries}).encode()
 
 
-def http_answer(body: bytes, status: bytes = b"200 OK", headers: bytes = b"") -> bytes:
+def encode_http_response(body: bytes, status: bytes = b"200 OK", headers: bytes = b"") -> bytes:
     """Return a complete HTTP response; `headers` are additional lines that end with CRLF."""
     return b"HTTP/1.1 %b\r\nContent-Length: %d\r\n%b\r\n%b" % (status, len(body), headers, body)
 
@@ -70,22 +70,22 @@
 
     def __init__(self, *bodies: bytes | None) -> None:
         self.pending_bodies = list(bodies)
-        self.asked: list[str] = []  # request targets of the calls so far
-        self.at: list[float] = []  # times of the calls so far, on the monotonic clock
-        self.peer = Peer(self.serve_connection)
+        self.requested_targets: list[str] = []  # request targets of the calls so far
+        self.request_times: list[float] = []  # times of the calls so far, on the monotonic clock
+        self.server = ScriptedServer(self.serve_connection)
 
     async def serve_connection(self, _: int, reader: Reader, writer: Writer) -> None:
         """Respond to the calls on one connection."""
         while head := await reader.readuntil(b"\r\n\r\n"):
-            self.asked.append(head.split(b" ")[1].decode())
-            self.at.append(time.monotonic())
+            self.requested_targets.append(head.split(b" ")[1].decode())
+            self.request_times.append(time.monotonic())
             body = self.pending_bodies.pop(0) if self.pending_bodies else None
             if body == b"":
                 return
             if body == REJECTION:
-                writer.write(http_answer(b"", b"503 Service Unavailable"))
+                writer.write(encode_http_response(b"", b"503 Service Unavailable"))
             elif body is not None:
-                writer.write(http_answer(body, headers=b"Content-Type: application/json\r\n"))
+                writer.write(encode_http_response(body, headers=b"Content-Type: application/json\r\n"))
 
 
 @asynccontextmanager
--- a/tests/support/imports.py
+++ b/tests/support/imports.py
@@ -9,7 +9,7 @@
 ImportGraph = Mapping[str, set[str]]
 
 # Standard modules that the decision module may import: none that reads a clock, a file or the environment.
-DECISIONS_STANDARD_LIBRARY = {
+DECISIONS_STDLIB_MODULES = {
     "__future__",
     "array",
     "bisect",
--- a/tests/support/ingress.py
+++ b/tests/support/ingress.py
@@ -11,17 +11,17 @@
 from ingress.downstream.connection import ClientConnection
 from ingress.process.configuration import Config
 from ingress.process.ingress import Ingress
-from tests.support.peers import Address, until
+from tests.support.peers import Address, wait_until
 
 ActionChooser: TypeAlias = Callable[[Any], list[api.Action]]
 
 
 @asynccontextmanager
-async def serving(config: Config) -> AsyncIterator[tuple[Ingress, Any]]:
+async def running_ingress(config: Config) -> AsyncIterator[tuple[Ingress, Any]]:
     """Run an ingress until the end of the context; yield it and the address that it listens on."""
     ingress = Ingress(config)
     task = asyncio.create_task(ingress.run(asyncio.Event()))
-    await until(lambda: ingress.watch is not None)
+    await wait_until(lambda: ingress.watch is not None)
     try:
         yield ingress, ingress.listener.sock.getsockname()
     finally:
@@ -32,7 +32,9 @@
 
 
 @asynccontextmanager
-async def serving_until_stopped(config: Config) -> AsyncIterator[tuple[Ingress, Address, asyncio.Event]]:
+async def running_ingress_until_stopped(
+    config: Config,
+) -> AsyncIterator[tuple[Ingress, Address, asyncio.Event]]:
     """Run an ingress; yield it, its address, and the event that stops it.
 
     The context ends once the graceful shutdown is complete, so the test must set the event.
@@ -40,14 +42,14 @@
     ingress = Ingress(config)
     stop = asyncio.Event()
     task = asyncio.create_task(ingress.run(stop))
-    await until(lambda: ingress.watch is not None)
+    await wait_until(lambda: ingress.watch is not None)
     yield ingress, ingress.listener.sock.getsockname(), stop
     await task
 
 
-async def client_connections(ingress: Ingress, count: int) -> list[ClientConnection]:
+async def wait_for_client_connections(ingress: Ingress, count: int) -> list[ClientConnection]:
     """Wait until the ingress has `count` open client connections; return them."""
-    await until(
+    await wait_until(
         lambda: len([connection for connection in ingress.listener.connections if connection.transport])
         == count
     )
@@ -69,12 +71,12 @@
         self.actions += self.choose_actions(event) if self.choose_actions else []
         return self.actions
 
-    def events_of(self, event_type: type) -> list[Any]:
+    def get_events_of_type(self, event_type: type) -> list[Any]:
         """Return the events of one type, in the order of their arrival."""
         return [event for event in self.events if isinstance(event, event_type)]
 
 
-def script_gateway(ingress: Ingress, choose_actions: ActionChooser | None) -> ScriptedGateway:
+def install_scripted_gateway(ingress: Ingress, choose_actions: ActionChooser | None) -> ScriptedGateway:
     """Replace the decision module of the ingress by a scripted one; return the new one."""
     gateway = ScriptedGateway(choose_actions)
     ingress.gateway = gateway  # type: ignore[assignment]
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -21,12 +21,12 @@
 Writer = asyncio.StreamWriter
 
 
-def run(body: Coroutine[Any, Any, None]) -> None:
+def run_async_test(body: Coroutine[Any, Any, None]) -> None:
     """Run the body of a test in a new event loop, for at most TEST_TIMEOUT_S."""
     uvloop.run(asyncio.wait_for(body, TEST_TIMEOUT_S))
 
 
-async def until(condition: Callable[[], object]) -> None:
+async def wait_until(condition: Callable[[], object]) -> None:
     """Wait until a condition holds.
 
     The function polls the condition, because most state of the code under test has no event to wait for.
@@ -37,31 +37,31 @@
         await asyncio.sleep(POLL_INTERVAL_S)
 
 
-class DelayedConnections:
+class DelayedConnectLoop:
     """Wrapper of the running event loop that delays new connections until the test allows them."""
 
     def __init__(self) -> None:
         self.loop = asyncio.get_running_loop()
-        self.up = asyncio.Event()
+        self.connect_allowed = asyncio.Event()
 
     def __getattr__(self, name: str) -> Any:
         return getattr(self.loop, name)
 
     async def sock_connect(self, sock: socket.socket, address: Address) -> None:
         """Connect the socket once the test has set the event."""
-        await self.up.wait()
+        await self.connect_allowed.wait()
         await self.loop.sock_connect(sock, address)
 
 
-class Peer:
+class ScriptedServer:
     """A server that runs `script` for each connection, with the number of the connection (from 0) first."""
 
     def __init__(self, script: Callable[[int, Reader, Writer], Awaitable[None]], port: int = 0) -> None:
         self.script = script
         self.port = port
-        self.connections = 0  # connections accepted so far
-        self.ended = 0  # how many of them have ended
-        self.commands: list[list[bytes]] = []  # received so far, as far as the script records them
+        self.connection_count = 0  # connections accepted so far
+        self.ended_connection_count = 0  # how many of them have ended
+        self.received_commands: list[list[bytes]] = []  # received so far, as far as the script records them
         self.connection_tasks: set[asyncio.Task[None]] = set()
 
     async def __aenter__(self) -> Self:
@@ -78,18 +78,18 @@
         task = asyncio.current_task()
         assert task is not None
         self.connection_tasks.add(task)
-        self.connections += 1
+        self.connection_count += 1
         try:
-            await self.script(self.connections - 1, reader, writer)
+            await self.script(self.connection_count - 1, reader, writer)
         except (ConnectionError, asyncio.IncompleteReadError, asyncio.CancelledError):
             pass  # the connection or the test has ended; asyncio's streams would log a cancelled task
         finally:
-            self.ended += 1
+            self.ended_connection_count += 1
             self.connection_tasks.discard(task)
             writer.close()
 
 
-def reset(writer: Writer) -> None:
+def reset_connection(writer: Writer) -> None:
     """Close a connection so that the other end sees a reset."""
     sock = writer.get_extra_info("socket")
     sock.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
@@ -106,47 +106,56 @@
     return arguments
 
 
-def value(text: bytes) -> bytes:
+def encode_value_reply(text: bytes) -> bytes:
     """Return the reply of a backend that holds this value, but no figures and no load report."""
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(text), text)
 
 
-def backend(reply: bytes | None = None) -> Peer:
+def scripted_backend(reply: bytes | None = None) -> ScriptedServer:
     """Return a backend that sends `reply` to each command; b"" sends none, None echoes the request id."""
 
     async def serve_connection(_: int, reader: Reader, writer: Writer) -> None:
         while True:
             arguments = await read_command(reader)
-            server.commands.append(arguments)
-            writer.write(value(arguments[2]) if reply is None else reply)
+            server.received_commands.append(arguments)
+            writer.write(encode_value_reply(arguments[2]) if reply is None else reply)
 
-    server = Peer(serve_connection)
+    server = ScriptedServer(serve_connection)
     return server
 
 
-def command(
-    request: str = "00000000000000aa",
-    cls: str = "read",
-    d: int = 2000,
+def make_command(
+    request_id: str = "00000000000000aa",
+    class_name: str = "read",
+    wait_ms: int = 2000,
     customer: int = 7,
-    verb: str | None = None,
+    command_name: str | None = None,
     body: bytes | None = None,
-    extra: str = "",
+    extra_fields: str = "",
 ) -> bytes:
     """Return a valid API.READ, or an API.WRITE if the class is not "read", encoded in RESP."""
-    if cls != "read":
-        verb, extra, body = verb or "API.WRITE", extra + ",k=0123456789abcdef", body or b"body"
-    fields = f"c={cls},t=basic,d={d}{extra},units=1,spread=1,first=0"
-    arguments = [(verb or "API.READ").encode(), b"%016x" % customer, request.encode(), fields.encode()]
-    return resp(*arguments, *([] if body is None else [body]))
-
-
-def resp(*items: bytes) -> bytes:
+    if class_name != "read":
+        command_name, extra_fields, body = (
+            command_name or "API.WRITE",
+            extra_fields + ",k=0123456789abcdef",
+            body or b"body",
+        )
+    fields = f"c={class_name},t=basic,d={wait_ms}{extra_fields},units=1,spread=1,first=0"
+    arguments = [
+        (command_name or "API.READ").encode(),
+        b"%016x" % customer,
+        request_id.encode(),
+        fields.encode(),
+    ]
+    return encode_resp_array(*arguments, *([] if body is None else [body]))
+
+
+def encode_resp_array(*items: bytes) -> bytes:
     """Return a RESP array of bulk strings."""
     return b"*%d\r\n" % len(items) + b"".join(b"$%d\r\n%b\r\n" % (len(item), item) for item in items)
 
 
-class Caller:
+class RespClient:
     """A client's connection to an ingress."""
 
     def __init__(self, reader: Reader, writer: Writer) -> None:
@@ -155,11 +164,11 @@
         self.parser = hiredis.Reader(notEnoughData=self)
 
     @classmethod
-    async def to(cls, address: Address) -> Self:
+    async def connect(cls, address: Address) -> Self:
         """Connect to the address."""
         return cls(*await asyncio.open_connection(*address))
 
-    async def answer(self) -> Any:
+    async def read_reply(self) -> Any:
         """Return the next reply; raise EOFError if the connection ends first."""
         while (reply := self.parser.gets()) is self:
             data = await self.reader.read(1 << 16)
@@ -168,17 +177,17 @@
             self.parser.feed(data)
         return reply
 
-    async def ask(self, data: bytes) -> Any:
+    async def send_and_read_reply(self, data: bytes) -> Any:
         """Send a command, and return the next reply."""
         self.writer.write(data)
-        return await self.answer()
+        return await self.read_reply()
 
     async def closes_without_reset(self) -> bool:
         """Return whether the connection is closed without further data; raise ConnectionError on a reset."""
         return await self.reader.read() == b""
 
 
-SETTINGS: dict[str, Any] = {
+WIRE_SETTINGS: dict[str, Any] = {
     "balancers": 1,
     "self-index": 0,
     "zone": "a",
@@ -202,7 +211,9 @@
 }
 
 
-def entry(address: Address, backend_id: str = "s1", state: str = "ready", started: int = 0) -> dict[str, Any]:
+def make_endpoint_entry(
+    address: Address, backend_id: str = "s1", state: str = "ready", started_ms: int = 0
+) -> dict[str, Any]:
     """Return the entry of a backend in an endpoint list."""
     return {
         "id": backend_id,
@@ -212,11 +223,11 @@
         "cell": 1,
         "state": state,
         "weight": 1.0,
-        "started_ms": started,
+        "started_ms": started_ms,
     }
 
 
-def config_text(
+def make_config_text(
     *servers: dict[str, Any], listen: str = "127.0.0.1:0", discovery: str = "127.0.0.1:1", **changes: Any
 ) -> str:
     """Return the text of a configuration file that knows the servers.
@@ -230,11 +241,11 @@
         "seed": "8c1f30d27a5be964",
         "limits": {"cores": 1.0, "memory_mb": 192, "sockets": 1024},
         "known": {"version": 1, "full": True, "servers": list(servers)},
-        "settings": SETTINGS,
+        "settings": WIRE_SETTINGS,
     }
     return json.dumps({key: value for key, value in (values | changes).items() if value is not None})
 
 
-def config(*servers: dict[str, Any], **changes: Any) -> Config:
+def make_config(*servers: dict[str, Any], **changes: Any) -> Config:
     """Return a configuration that knows the servers; `changes` override keys of its file."""
-    return read_config(config_text(*servers, **changes))
+    return read_config(make_config_text(*servers, **changes))
--- a/tests/support/pool.py
+++ b/tests/support/pool.py
@@ -9,9 +9,9 @@
 from ingress.network.clock import unix_clock
 from ingress.upstream.attempt import Attempt, CommandParts
 from ingress.upstream.pool import ConnectionPool
-from tests.support.peers import Address, until
+from tests.support.peers import Address, wait_until
 
-PARTS: CommandParts = (
+COMMAND_PARTS: CommandParts = (
     b"*4\r\n$8\r\nAPI.READ\r\n$2\r\nc7\r\n$2\r\nr1\r\n",
     b"c=read,d=2000,t=basic,x=9",
     b"\r\n",
@@ -23,7 +23,7 @@
 class AttemptResult:
     """The end of an attempt, as the pool reported it."""
 
-    number: int
+    attempt_number: int
     outcome: Outcome
     value: bytes | None
 
@@ -49,40 +49,40 @@
             connect_timeout_s,
             idle_timeout_s,
             lambda: clock() + self.clock_offset_s,
-            self.record,
+            self.record_result,
         )
-        self.update(*((Backend(f"s{n}"), address) for n, address in enumerate(addresses)))
+        self.update_endpoints(*((Backend(f"s{n}"), address) for n, address in enumerate(addresses)))
 
-    def update(self, *entries: tuple[Backend, Address], full: bool = True) -> None:
+    def update_endpoints(self, *entries: tuple[Backend, Address], full: bool = True) -> None:
         """Pass the pool a complete endpoint list, or only the changed entries if `full` is false."""
         backends = tuple(backend for backend, _ in entries)
         addresses = {backend.id: address for backend, address in entries}
         self.pool.update_endpoints(full, backends, addresses)
 
-    def record(
+    def record_result(
         self, attempt: Attempt, outcome: Outcome, value: bytes | None, load_report: dict[str, float]
     ) -> None:
         """Record a result; the pool calls this method."""
         self.results.append(AttemptResult(attempt.number, outcome, value))
 
-    def send(
+    def start_attempt(
         self,
         backend_id: str = "s0",
         timeout_s: float = 5.0,
-        parts: CommandParts = PARTS,
-        write_within_s: float = inf,
+        parts: CommandParts = COMMAND_PARTS,
+        max_write_delay_s: float = inf,
     ) -> Attempt:
         """Start an attempt at the backend."""
         now = self.pool.clock()
         attempt = Attempt(
-            "r", self.attempt_count, backend_id, now, now + timeout_s, parts, now + write_within_s
+            "r", self.attempt_count, backend_id, now, now + timeout_s, parts, now + max_write_delay_s
         )
         self.attempt_count += 1
-        self.pool.start(attempt)
+        self.pool.start_attempt(attempt)
         return attempt
 
-    async def result(self, result_count: int = 1) -> tuple[Outcome, bytes | None]:
+    async def wait_for_result(self, result_count: int = 1) -> tuple[Outcome, bytes | None]:
         """Wait for `result_count` results in all; return the outcome and value of the last of them."""
-        await until(lambda: len(self.results) >= result_count)
+        await wait_until(lambda: len(self.results) >= result_count)
         result = self.results[result_count - 1]
         return result.outcome, result.value
--- a/tests/support/process.py
+++ b/tests/support/process.py
@@ -13,12 +13,12 @@
 from typing import Any
 
 from tests.support.paths import ROOT
-from tests.support.peers import Address, config_text
+from tests.support.peers import Address, make_config_text
 
-CONFIG_FILE = "config.json"  # name of the configuration file that a test writes
+CONFIG_FILE_NAME = "config.json"  # name of the configuration file that a test writes
 
 
-def free_port() -> int:
+def find_free_port() -> int:
     """Return a loopback port that is currently free."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         port: int = server.getsockname()[1]
@@ -26,8 +26,8 @@
 
 
 @asynccontextmanager
-async def running(
-    path: Path, text: str, search: str = "", descriptors: int = 0
+async def running_process(
+    path: Path, text: str, module_path: str = "", max_descriptors: int = 0
 ) -> AsyncIterator[asyncio.subprocess.Process]:
     """Run the program with the configuration `text`, written to `path`; kill it at the end if it still runs.
 
@@ -35,11 +35,11 @@
     file descriptors (0 for no limit).
     """
     path.write_text(text, encoding="utf-8")
-    variables = {"EDGE_CONFIG": str(path)} | ({"PYTHONPATH": search} if search else {})
+    variables = {"EDGE_CONFIG": str(path)} | ({"PYTHONPATH": module_path} if module_path else {})
 
     def limit_descriptors() -> None:
-        if descriptors:
-            resource.setrlimit(resource.RLIMIT_NOFILE, (descriptors, descriptors))
+        if max_descriptors:
+            resource.setrlimit(resource.RLIMIT_NOFILE, (max_descriptors, max_descriptors))
 
     process = await asyncio.create_subprocess_exec(
         sys.executable,
@@ -58,7 +58,7 @@
             await process.wait()
 
 
-async def log_line(process: asyncio.subprocess.Process, *parts: str) -> str:
+async def read_log_line(process: asyncio.subprocess.Process, *parts: str) -> str:
     """Return the next line of the program's log that contains all of `parts`.
 
     Raise EOFError, with the lines read, if the program ends without such a line.
@@ -73,15 +73,17 @@
 
 
 @asynccontextmanager
-async def listening(
-    directory: Path, *servers: dict[str, Any], descriptors: int = 0, **changes: Any
+async def listening_process(
+    directory: Path, *servers: dict[str, Any], max_descriptors: int = 0, **changes: Any
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Address]]:
     """Run the program; once it listens, yield the process and its address.
 
     The configuration knows the servers, and `changes` override its keys.
     """
-    address = ("127.0.0.1", free_port())
-    text = config_text(*servers, listen=f"127.0.0.1:{address[1]}", **changes)
-    async with running(directory / CONFIG_FILE, text, descriptors=descriptors) as process:
-        await log_line(process, "listening")
+    address = ("127.0.0.1", find_free_port())
+    text = make_config_text(*servers, listen=f"127.0.0.1:{address[1]}", **changes)
+    async with running_process(
+        directory / CONFIG_FILE_NAME, text, max_descriptors=max_descriptors
+    ) as process:
+        await read_log_line(process, "listening")
         yield process, address
--- a/tests/test_gossip_codec.py
+++ b/tests/test_gossip_codec.py
@@ -20,7 +20,7 @@
     assert MAX_TEXT_BYTES - 20 < len(report.text) <= MAX_TEXT_BYTES
     parsed = parse_report(report.text)
     assert parsed is not None
-    assert parsed.totals == tuple(totals[: report.included])
+    assert parsed.totals == tuple(totals[: report.included_count])
 
 
 @pytest.mark.parametrize("text", ["", "x", "1 zz", "1 a:b:c", "1 a:", "1 " + "f" * 250])
--- a/tests/test_import_contract.py
+++ b/tests/test_import_contract.py
@@ -11,7 +11,7 @@
 
 import pytest
 
-from tests.support.imports import DECISIONS_STANDARD_LIBRARY, build_import_graph, find_cycles
+from tests.support.imports import DECISIONS_STDLIB_MODULES, build_import_graph, find_cycles
 
 ROOT = Path(__file__).resolve().parent.parent
 ARCHITECTURE = ROOT / "docs" / "architecture.md"
@@ -83,7 +83,7 @@
 
 def test_decision_module_imports_only_the_allowed_standard_modules() -> None:
     imported = {name for module in list_modules("decisions") for name in IMPORT_GRAPH[module]}
-    assert {name for name in imported if name.split(".")[0] != "ingress"} <= DECISIONS_STANDARD_LIBRARY
+    assert {name for name in imported if name.split(".")[0] != "ingress"} <= DECISIONS_STDLIB_MODULES
 
 
 def test_interface_imports_only_the_standard_library() -> None:
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -15,8 +15,17 @@
 from ingress.interface import Outcome
 from ingress.upstream.attempt import Attempt
 from ingress.upstream.connection import BackendConnection
-from tests.support.peers import Peer, Reader, Writer, backend, read_command, run, until, value
-from tests.support.pool import PARTS, PoolUnderTest
+from tests.support.peers import (
+    Reader,
+    ScriptedServer,
+    Writer,
+    encode_value_reply,
+    read_command,
+    run_async_test,
+    scripted_backend,
+    wait_until,
+)
+from tests.support.pool import COMMAND_PARTS, PoolUnderTest
 
 BINARY_VALUE = bytes(range(256)) * 256
 LARGE_ARGUMENT = b"\r\n$8000000\r\n" + b"x" * 8_000_000 + b"\r\n"
@@ -25,10 +34,14 @@
 @pytest.mark.parametrize(
     ("answer", "outcome", "found"),
     [
-        (value(b"hello"), Outcome.OK, b"hello"),
-        (value(b""), Outcome.OK, b""),
-        (value(BINARY_VALUE), Outcome.OK, BINARY_VALUE),
-        (value(BINARY_VALUE * 6), Outcome.OK, BINARY_VALUE * 6),  # six times the 64 KiB limit of commands
+        (encode_value_reply(b"hello"), Outcome.OK, b"hello"),
+        (encode_value_reply(b""), Outcome.OK, b""),
+        (encode_value_reply(BINARY_VALUE), Outcome.OK, BINARY_VALUE),
+        (
+            encode_value_reply(BINARY_VALUE * 6),
+            Outcome.OK,
+            BINARY_VALUE * 6,
+        ),  # six times the 64 KiB limit of commands
         (b"*3\r\n$2\r\nok\r\n$1\r\n4\r\n$10\r\ninflight=7\r\n", Outcome.OK, b"ok"),
         (b"-ERR failed\r\n", Outcome.ERROR, None),
         (b"-ERR failed inflight=7,queue=2\r\n", Outcome.ERROR, None),
@@ -43,22 +56,25 @@
 )
 def test_reply_determines_outcome_and_value(answer: bytes, outcome: Outcome, found: bytes | None) -> None:
     async def body() -> None:
-        async with backend(answer) as peer:
+        async with scripted_backend(answer) as peer:
             pool = PoolUnderTest(peer.address)
-            pool.send()
-            assert await pool.result() == (outcome, found)
+            pool.start_attempt()
+            assert await pool.wait_for_result() == (outcome, found)
 
-    run(body())
+    run_async_test(body())
 
 
 def test_command_is_forwarded_unchanged_except_for_the_remaining_time() -> None:
     async def body() -> None:
-        async with backend() as peer:
+        async with scripted_backend() as peer:
             pool = PoolUnderTest(peer.address)
             data = b"$%d\r\n%b\r\n" % (len(BINARY_VALUE), BINARY_VALUE)
-            pool.send(timeout_s=1.0, parts=(PARTS[0].replace(b"*4", b"*5"), PARTS[1], b"\r\n" + data))
-            assert await pool.result() == (Outcome.OK, b"r1")
-            [words] = peer.commands
+            pool.start_attempt(
+                timeout_s=1.0,
+                parts=(COMMAND_PARTS[0].replace(b"*4", b"*5"), COMMAND_PARTS[1], b"\r\n" + data),
+            )
+            assert await pool.wait_for_result() == (Outcome.OK, b"r1")
+            [words] = peer.received_commands
             fields = words[3].split(b",")
             assert words[:3] == [b"API.READ", b"c7", b"r1"]
             assert words[4] == BINARY_VALUE
@@ -67,7 +83,7 @@
             assert fields[1].startswith(b"d=")
             assert 1 <= int(fields[1][2:]) <= 1000
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("partly", [b"", b"*3\r\n$5\r\nhel"])
@@ -77,13 +93,13 @@
         writer.write(partly)
 
     async def body() -> None:
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             pool = PoolUnderTest(peer.address)
-            pool.send()
-            assert await pool.result() == (Outcome.RESET, None)
+            pool.start_attempt()
+            assert await pool.wait_for_result() == (Outcome.RESET, None)
             assert pool.pool.connection_count == 0
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("cancel", [True, False])
@@ -100,32 +116,32 @@
             def record_end(
                 attempt: Attempt, outcome: Outcome, answer: bytes | None, load: dict[str, float]
             ) -> None:
-                pool.record(attempt, outcome, answer, load)
+                pool.record_result(attempt, outcome, answer, load)
                 received_after_close.append(peer.recv(100))
 
             pool.pool.on_attempt_end = record_end
-            attempt = pool.send(timeout_s=5.0 if cancel else 0.2)
+            attempt = pool.start_attempt(timeout_s=5.0 if cancel else 0.2)
             peer, _ = await loop.sock_accept(server)
             peer.setblocking(False)
             assert (await loop.sock_recv(peer, 4096)).endswith(b"\r\n")
             if cancel:
-                pool.pool.cancel(attempt)
-            assert (await pool.result())[0] is (Outcome.CANCELLED if cancel else Outcome.TIMEOUT)
+                pool.pool.cancel_attempt(attempt)
+            assert (await pool.wait_for_result())[0] is (Outcome.CANCELLED if cancel else Outcome.TIMEOUT)
             assert received_after_close == [b""]
             peer.close()
 
-    run(body())
+    run_async_test(body())
 
 
 def test_unsolicited_second_reply_closes_the_connection() -> None:
     async def body() -> None:
-        async with backend(value(b"one") + value(b"two")) as peer:
+        async with scripted_backend(encode_value_reply(b"one") + encode_value_reply(b"two")) as peer:
             pool = PoolUnderTest(peer.address)
-            pool.send()
-            assert await pool.result() == (Outcome.OK, b"one")
+            pool.start_attempt()
+            assert await pool.wait_for_result() == (Outcome.OK, b"one")
             assert pool.pool.connection_count == 0
 
-    run(body())
+    run_async_test(body())
 
 
 class HeldReuseDelay:
@@ -171,15 +187,15 @@
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while True:
             await read_command(reader)
-            writer.write(value(b"%d" % number))
+            writer.write(encode_value_reply(b"%d" % number))
             if number == 0:
                 await first_ended.wait()
-                writer.write(value(b"noise"))
+                writer.write(encode_value_reply(b"noise"))
 
     async def body() -> None:
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             pool = PoolUnderTest(peer.address)
-            reuse_delay_s = pool.pool.idle.reuse_delay_s
+            reuse_delay_s = pool.pool.idle_connections.reuse_delay_s
             held_delay = HeldReuseDelay(reuse_delay_s)
             now = pool.pool.clock()
             pool.pool.clock = lambda: now + pool.clock_offset_s
@@ -189,19 +205,19 @@
             def record_end(*args: Any) -> None:
                 record_result(*args)
                 if len(pool.results) == 1:
-                    pool.send()
+                    pool.start_attempt()
                     first_ended.set()
 
             pool.pool.on_attempt_end = record_end
-            pool.send()
-            assert await pool.result() == (Outcome.OK, b"0")
+            pool.start_attempt()
+            assert await pool.wait_for_result() == (Outcome.OK, b"0")
             await noise_read.wait()
             pool.clock_offset_s = 2 * reuse_delay_s
             held_delay.run_held_calls()
-            assert await pool.result(2) == (Outcome.OK, b"1")
+            assert await pool.wait_for_result(2) == (Outcome.OK, b"1")
 
     monkeypatch.setattr(BackendConnection, "data_received", receive_and_record_noise)
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize(
@@ -227,45 +243,45 @@
 )
 def test_malformed_reply_is_an_error_and_closes_the_connection(malformed: bytes) -> None:
     async def body() -> None:
-        async with backend(malformed) as peer:
+        async with scripted_backend(malformed) as peer:
             pool = PoolUnderTest(peer.address)
-            pool.send()
-            assert await pool.result() == (Outcome.ERROR, None)
+            pool.start_attempt()
+            assert await pool.wait_for_result() == (Outcome.ERROR, None)
             assert pool.pool.connection_count == 0
             assert pool.pool.reply_buffer.used_bytes == 0
-            await until(lambda: peer.ended)
+            await wait_until(lambda: peer.ended_connection_count)
 
-    run(body())
+    run_async_test(body())
 
 
 def test_malformed_replies_are_logged(caplog: pytest.LogCaptureFixture) -> None:
     async def body() -> None:
-        async with backend(b"-SYNTAX\r\n") as peer:
+        async with scripted_backend(b"-SYNTAX\r\n") as peer:
             pool = PoolUnderTest(peer.address)
-            pool.send()
-            await pool.result()
+            pool.start_attempt()
+            await pool.wait_for_result()
 
     with caplog.at_level(logging.WARNING):
-        run(body())
+        run_async_test(body())
     [record] = caplog.records
     assert record.getMessage() == "upstream reply malformed backend=s0 reason=b'-SYNTAX\\r\\n' count=1"
 
 
 def test_incomplete_replies_are_limited_over_all_connections_together() -> None:
     async def body() -> None:
-        async with backend(b"*3\r\n$900000\r\n" + b"x" * 800_000) as peer:
+        async with scripted_backend(b"*3\r\n$900000\r\n" + b"x" * 800_000) as peer:
             pool = PoolUnderTest(peer.address)
             pool.pool.reply_buffer.max_bytes = 1_000_000
-            first = pool.send()
-            await until(lambda: pool.pool.reply_buffer.used_bytes > 800_000)
-            pool.send()
-            assert await pool.result() == (Outcome.ERROR, None)
-            assert pool.results[0].number == 1
+            first = pool.start_attempt()
+            await wait_until(lambda: pool.pool.reply_buffer.used_bytes > 800_000)
+            pool.start_attempt()
+            assert await pool.wait_for_result() == (Outcome.ERROR, None)
+            assert pool.results[0].attempt_number == 1
             assert 800_000 < pool.pool.reply_buffer.used_bytes < 1_000_000
-            pool.pool.cancel(first)
+            pool.pool.cancel_attempt(first)
             assert pool.pool.reply_buffer.used_bytes == 0
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("how", ["reset", "time is up", "client left"])
@@ -278,23 +294,23 @@
             server.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             server.setblocking(False)
             pool = PoolUnderTest(server.getsockname())
-            attempt = pool.send(
-                timeout_s=0.5 if how == "time is up" else 5.0, parts=(*PARTS[:2], LARGE_ARGUMENT)
+            attempt = pool.start_attempt(
+                timeout_s=0.5 if how == "time is up" else 5.0, parts=(*COMMAND_PARTS[:2], LARGE_ARGUMENT)
             )
             peer, _ = await loop.sock_accept(server)
-            await until(lambda: attempt.connection is not None)
+            await wait_until(lambda: attempt.connection is not None)
             assert not attempt.is_fully_written()
             if how == "reset":
                 peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 peer.close()
             elif how == "client left":
-                pool.pool.cancel_if_unsent(attempt)
+                pool.pool.cancel_attempt_if_unsent(attempt)
             outcome = Outcome.SUPERSEDED if how == "client left" else Outcome.CONNECT_FAILED
-            assert await pool.result() == (outcome, None)
+            assert await pool.wait_for_result() == (outcome, None)
             peer.close()
-            await until(lambda: pool.pool.connection_count == 0)
+            await wait_until(lambda: pool.pool.connection_count == 0)
 
-    run(body())
+    run_async_test(body())
 
 
 def test_fully_written_attempt_is_not_cancelled_when_its_client_leaves() -> None:
@@ -302,21 +318,23 @@
         assert len((await read_command(reader))[4]) == 8_000_000
         command_read.set()
         await may_answer.wait()
-        writer.write(value(b"done"))
+        writer.write(encode_value_reply(b"done"))
         await reader.read()
 
     command_read = asyncio.Event()
     may_answer = asyncio.Event()
 
     async def body() -> None:
-        async with Peer(script) as peer:
+        async with ScriptedServer(script) as peer:
             pool = PoolUnderTest(peer.address)
-            attempt = pool.send(parts=(PARTS[0].replace(b"*4", b"*5"), PARTS[1], LARGE_ARGUMENT))
+            attempt = pool.start_attempt(
+                parts=(COMMAND_PARTS[0].replace(b"*4", b"*5"), COMMAND_PARTS[1], LARGE_ARGUMENT)
+            )
             await command_read.wait()
-            await until(attempt.is_fully_written)
-            pool.pool.cancel_if_unsent(attempt)
+            await wait_until(attempt.is_fully_written)
+            pool.pool.cancel_attempt_if_unsent(attempt)
             assert not attempt.has_ended
             may_answer.set()
-            assert await pool.result() == (Outcome.OK, b"done")
+            assert await pool.wait_for_result() == (Outcome.OK, b"done")
 
-    run(body())
+    run_async_test(body())
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -8,7 +8,7 @@
 import pytest
 
 from ingress.interface import Outcome
-from tests.support.peers import backend, run, until
+from tests.support.peers import run_async_test, scripted_backend, wait_until
 from tests.support.pool import PoolUnderTest
 from tests.support.sockets import refusing_address, unresponsive_address
 
@@ -16,12 +16,12 @@
 def test_attempt_on_a_refused_connection_is_connect_failed() -> None:
     async def body() -> None:
         pool = PoolUnderTest(refusing_address())
-        pool.send()
-        assert await pool.result() == (Outcome.CONNECT_FAILED, None)
-        pool.send("unknown")
-        assert await pool.result(2) == (Outcome.CONNECT_FAILED, None)
+        pool.start_attempt()
+        assert await pool.wait_for_result() == (Outcome.CONNECT_FAILED, None)
+        pool.start_attempt("unknown")
+        assert await pool.wait_for_result(2) == (Outcome.CONNECT_FAILED, None)
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("timeout_s", [5.0, 0.05])
@@ -29,16 +29,16 @@
     async def body() -> None:
         with unresponsive_address() as address:
             pool = PoolUnderTest(address, connect_timeout_s=0.1)
-            pool.send(timeout_s=timeout_s)
-            assert await pool.result() == (Outcome.CONNECT_FAILED, None)
-            await until(lambda: pool.pool.connection_count == 0)
+            pool.start_attempt(timeout_s=timeout_s)
+            assert await pool.wait_for_result() == (Outcome.CONNECT_FAILED, None)
+            await wait_until(lambda: pool.pool.connection_count == 0)
 
-    run(body())
+    run_async_test(body())
 
 
 def test_lack_of_descriptors_does_not_count_as_backend_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
-        async with backend() as peer:
+        async with scripted_backend() as peer:
             pool = PoolUnderTest(peer.address)
             original_socket = socket.socket
 
@@ -46,31 +46,34 @@
                 raise OSError(errno.EMFILE, "too many open files")
 
             monkeypatch.setattr(socket, "socket", raise_no_descriptors)
-            pool.send()
-            assert await pool.result() == (Outcome.SUPERSEDED, None)
+            pool.start_attempt()
+            assert await pool.wait_for_result() == (Outcome.SUPERSEDED, None)
             monkeypatch.setattr(socket, "socket", original_socket)
             assert pool.pool.connection_count == 0
-            pool.send()
-            assert await pool.result(2) == (Outcome.OK, b"r1")
+            pool.start_attempt()
+            assert await pool.wait_for_result(2) == (Outcome.OK, b"r1")
 
-    run(body())
+    run_async_test(body())
 
 
 def test_connections_are_limited_over_all_backends_together() -> None:
     async def body() -> None:
-        async with backend() as one, backend(b"") as silent:
+        async with scripted_backend() as one, scripted_backend(b"") as silent:
             pool = PoolUnderTest(one.address, silent.address, max_connections=2)
-            pool.send("s0")
-            await pool.result()
-            pool.send("s1")
-            pool.send("s1")  # its connection replaces the idle one to s0
-            pool.send("s1")
-            assert await pool.result(2) == (Outcome.SUPERSEDED, None)  # does not count against the backend
-            await until(lambda: len(silent.commands) == 2)
+            pool.start_attempt("s0")
+            await pool.wait_for_result()
+            pool.start_attempt("s1")
+            pool.start_attempt("s1")  # its connection replaces the idle one to s0
+            pool.start_attempt("s1")
+            assert await pool.wait_for_result(2) == (
+                Outcome.SUPERSEDED,
+                None,
+            )  # does not count against the backend
+            await wait_until(lambda: len(silent.received_commands) == 2)
             assert pool.pool.connection_count == 2
-            assert pool.results[-1].number == 3
+            assert pool.results[-1].attempt_number == 3
 
-    run(body())
+    run_async_test(body())
 
 
 @pytest.mark.parametrize("fresh", [True, False])
@@ -78,20 +81,22 @@
     """A retry after the deduplication window of its backend would take effect a second time."""
 
     async def body() -> None:
-        async with backend() as peer:
+        async with scripted_backend() as peer:
             pool = PoolUnderTest(peer.address)
             now = 100.0
             pool.pool.clock = lambda: now
             if not fresh:
-                pool.send()
-                assert (await pool.result())[0] is Outcome.OK  # leaves a connection in its reuse delay
-            pool.send(write_within_s=1.0)
+                pool.start_attempt()
+                assert (await pool.wait_for_result())[
+                    0
+                ] is Outcome.OK  # leaves a connection in its reuse delay
+            pool.start_attempt(max_write_delay_s=1.0)
             now += 0.995  # the time at which a connection is established or may be reused
-            assert await pool.result(2 - fresh) == (Outcome.SUPERSEDED, None)
+            assert await pool.wait_for_result(2 - fresh) == (Outcome.SUPERSEDED, None)
             now += 1.0
-            pool.send(write_within_s=1.0)  # the connection is still usable
-            assert (await pool.result(3 - fresh))[0] is Outcome.OK
-            assert len(peer.commands) == 2 - fresh
-            assert peer.connections == 1
+            pool.start_attempt(max_write_delay_s=1.0)  # the connection is still usable
+            assert (await pool.wait_for_result(3 - fresh))[0] is Outcome.OK
+            assert len(peer.received_commands) == 2 - fresh
+            assert peer.connection_count == 1
 
-    run(body())
+    run_async_test(body())
