--- a/ingress/decisions/__init__.py
+++ b/ingress/decisions/__init__.py
@@ -7,7 +7,7 @@
 
 - `Request`: `RequestIntake` finds the `Customer` through `Admission` and builds a `PendingRequest`. If the
   customer's slice of the quota is low, `UsageCounter` asks the shared counter, and the request waits in
-  `Customer.requests_awaiting_counter`; otherwise `RequestDecision` decides on it at once. `RequestDecision`
+  `Customer.requests_awaiting_counter`; otherwise `RequestDecision` decides on it directly. `RequestDecision`
   checks the customer's limits with `Admission` and compares the share of requests to shed
   (`OverloadDetector`) with the request's rank among recent ones (`RequestRanking`). If the request is
   admitted, `LoadBalancer` chooses a `TrackedBackend`, and `AttemptTracker` charges the limits and sends the
--- a/ingress/decisions/action_sink.py
+++ b/ingress/decisions/action_sink.py
@@ -12,7 +12,7 @@
         self.actions: list[api.Action] = []
 
     def begin_event(self) -> None:
-        """Start a new list; the list of the previous event stays as it is for its reader."""
+        """Start a new list; the previous list is not changed, because the host may still read it."""
         self.actions = []
 
     def emit(self, action: api.Action) -> None:
--- a/ingress/decisions/admission.py
+++ b/ingress/decisions/admission.py
@@ -1,4 +1,4 @@
-"""Admission by quota: checks whether requests are inside their customers' limits, as far as is known here."""
+"""Admission by quota: checks requests against what this gateway knows of their customers' limits."""
 
 import ingress.interface as api
 from ingress.decisions.counted_use import COUNT_EPOCH_S
@@ -7,16 +7,16 @@
 from ingress.decisions.request import PendingRequest
 from ingress.decisions.usage_counter import UsageCounter
 
-# Share of a slice's capacity.  The counter is asked before the slice falls below this level, which is lowered
-# in proportion to the sampling rate.
+# Share of a slice's capacity.  The counter is asked about a request that would leave less than this share,
+# multiplied by the sampling rate, in the slice.
 LOW_SLICE_SHARE = 0.5
-# A request awaits the counter's reply only if its deadline is further away than this many counter time-outs.
+# A request awaits the counter's reply only if its deadline is further away than this many counter timeouts.
 MIN_COUNTER_TIMEOUTS_LEFT = 4
-# Bursts by which the counter's totals may be wrong at a sampling rate of 0; at a rate of 1 they are right.
+# Assumed error of the counter's totals at a sampling rate of 0, in bursts; at a rate of 1 there is no error.
 TOTAL_ERROR_BURSTS = 0.5
 # Without a successful call for this long, the counter is considered down rather than overloaded.
 COUNTER_DOWN_AFTER_S = COUNT_EPOCH_S / 3
-# For this long after a total that showed too little quota, no request is admitted beyond an undersized slice.
+# For this long after a total, a request is not admitted unsampled if the total leaves too few units for it.
 EXHAUSTED_TOTAL_LIFETIME_S = COUNT_EPOCH_S / 3
 
 
@@ -59,7 +59,7 @@
     def evict_idle(self, now: float) -> None:
         """Remove idle customers whose state equals that of a new customer.
 
-        Use of theirs that was not reported yet is discarded, because it is too small to matter.
+        Their use that was not reported yet is discarded, because it is too small to matter.
         """
         idle = [customer for customer in self.customers_by_key.values() if customer.is_evictable(now)]
         for customer in idle:
@@ -70,11 +70,11 @@
     def needs_counter(self, now: float, request: PendingRequest) -> bool:
         """Return whether to ask the counter before the request is decided.
 
-        This is so if a local slice is low, the reply can come in time, and the complete quota may have
-        enough units for the request.
+        The counter is asked if a local slice is low, the reply can arrive in time, and the complete quota may
+        have enough units for the request.
         """
-        # The slices are checked first because the check also refills them: leaving out a refill would change
-        # how their levels are rounded.
+        # The slices are checked first because the check also refills them.  A skipped refill would change how
+        # their levels are rounded, and thus perhaps a later decision.
         if self._slices_suffice(now, request):
             return False
         if request.is_too_late or not self._has_time_for_reply(now, request):
@@ -93,7 +93,7 @@
         return request.deadline - now > MIN_COUNTER_TIMEOUTS_LEFT * self.settings.counter_timeout
 
     def _may_find_more_quota(self, now: float, request: PendingRequest) -> bool:
-        """Return whether a new total may show enough units: the last one is old, or it showed enough."""
+        """Return whether a new total may show enough units: the last total is old or showed enough."""
         estimate = request.customer.estimate
         # A counter that serves all calls is asked again once the quota has refilled by the request's units.
         asks_often = self.counter.sampling.rate >= 1
@@ -110,8 +110,8 @@
 
         If the complete quota is not known, a request that is probably inside it counts as inside.
         """
-        # The rate is checked first because the check also refills the slice: leaving out a refill would
-        # change how its level is rounded.
+        # The rate is checked first because the check also refills the slice.  A skipped refill would change
+        # how its level is rounded, and thus perhaps a later decision.
         is_inside_rate = self._is_inside_rate(now, request)
         return is_inside_rate and not self._is_at_concurrency_limit(request)
 
@@ -132,8 +132,8 @@
     def _estimate_margin(self, request: PendingRequest) -> float:
         """Return the units that the estimate must show in addition to the request's own.
 
-        An overloaded counter is not asked about each request and learns of the other requests' use late, so
-        its totals are inaccurate.
+        An overloaded counter is asked only about some requests and gets the use of the others late, so its
+        totals are inaccurate.
         """
         if not request.customer.has_undersized_slice or request.accounting.counted_units:
             return 0.0
--- a/ingress/decisions/attempt_outcomes.py
+++ b/ingress/decisions/attempt_outcomes.py
@@ -24,7 +24,7 @@
         self.counter = counter
 
     def record_outcome(self, now: float, event: api.AttemptEnded, attempt: InFlightAttempt) -> None:
-        """Record the outcome of `attempt`."""
+        """Record the outcome of `attempt`; ignore an attempt that was withdrawn."""
         if event.outcome is api.Outcome.OK:
             self._record_answer(now, event, attempt)
             self._settle_units(event, attempt.request)
@@ -47,7 +47,8 @@
 
     def _record_failure(self, now: float, event: api.AttemptEnded, attempt: InFlightAttempt) -> None:
         backend = attempt.sent_attempt.backend
-        # A time-out also counts as a slow answer, unless the backend has answered another attempt since then.
+        # A timeout also counts as a slow answer, unless the backend has answered another attempt since
+        # this one was sent.
         if event.outcome is api.Outcome.TIMEOUT and backend.last_answer_at <= attempt.sent_attempt.sent_at:
             request_class = attempt.request.request_class
             objective = request_class.latency_objective
--- a/ingress/decisions/attempts.py
+++ b/ingress/decisions/attempts.py
@@ -12,7 +12,7 @@
 from ingress.decisions.retry_policy import RetryPolicy
 from ingress.decisions.usage_counter import UsageCounter
 
-MIN_TIMEOUT_S = 1e-6  # not 0, which means that an attempt may last until the client's deadline
+MIN_TIMEOUT_S = 1e-6  # above 0, because 0 means that an attempt may last until the client's deadline
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
 
     def send_attempt(self, now: float, request: PendingRequest, explore: bool = False) -> bool:
-        """Send one more attempt of `request`; return False if there is no backend that it may be sent to.
+        """Send one more attempt of `request`; return False if no backend may receive the attempt.
 
         With `explore` the attempt goes to a backend outside of the subset, to find out whether an overload is
         limited to the subset.
--- a/ingress/decisions/ceiling.py
+++ b/ingress/decisions/ceiling.py
@@ -6,7 +6,7 @@
 from ingress.decisions.counted_use import MIN_REPORTED_BURSTS, NO_COUNT
 from ingress.decisions.token_bucket import Charge, TokenBucket
 
-# Share of the difference between the ceiling's burst and the quota's that a new process may use at once.
+# Share of the difference between the ceiling's burst and the quota's that a new process may use immediately.
 RESERVE_SHARE = 0.5
 
 
@@ -17,7 +17,7 @@
     count_name: int
     """Name of the count that the reply is for."""
     known_since: float
-    """Start of the count or of this process, whichever is later: time in seconds."""
+    """Time in seconds when the count or this process started, whichever was later."""
     peer_units: float
     """Units that the other gateways have added to the count."""
     peer_units_increase: float
@@ -32,10 +32,10 @@
     def __init__(self, plan: api.Plan, assigned_instances: int, process_age: float, now: float) -> None:
         self.plan = plan
         self.reserve = RESERVE_SHARE * max(0.0, plan.ceiling_burst - plan.burst)
-        """Units that a new process may use at once.
+        """Units that a new process may use immediately.
 
-        A new process does not know what was used before it started, so it must not hand out the complete
-        ceiling again.  It may hand out a share of the units that a customer inside its quota never uses."""
+        A new process does not know what was used before it started, so it must not grant the complete
+        ceiling again.  It may grant a share of the units that a customer inside its quota never uses."""
         initial_level = min(plan.ceiling_burst, self.reserve + plan.ceiling_rate * process_age)
         self.slice = TokenBucket(
             plan.ceiling_rate / assigned_instances,
@@ -52,9 +52,9 @@
     def has_units(self, now: float, units: float, assigned_instances: int, total_is_current: bool) -> bool:
         """Return whether the slice or, if `total_is_current`, the complete ceiling has `units`.
 
-        `total_is_current` says that the counter's total has arrived at `now`.  The complete ceiling must also
-        have room for the units that the other gateways may use before they report them, beyond half of the
-        ceiling slack.
+        `total_is_current` says that the counter's total has arrived at `now`.  In addition to
+        `units`, the complete ceiling must have the units that the other gateways may have used without
+        reporting them, minus half of the ceiling slack.
         """
         unreported_by_peers = (
             assigned_instances - 1
--- a/ingress/decisions/correction_lease.py
+++ b/ingress/decisions/correction_lease.py
@@ -3,7 +3,7 @@
 A count at the shared counter only adds up units, so it is not limited to the range of a token bucket: idle
 time accumulates as credit beyond the burst, and excess use as debt below zero.  The gateway that holds the
 lease of a count removes the credit or the debt.  Without the lease, all gateways that see a total would
-correct it at once, and would then correct each other's corrections.
+correct it at the same time, and would then correct each other's corrections.
 """
 
 from collections.abc import Callable
@@ -19,7 +19,7 @@
 # sampling rate of 1, the maximum at low sampling rates.
 MIN_SLACK_BURSTS = 0.1
 MAX_SLACK_BURSTS = 0.25
-# Counter time-outs for which a debt must last before it is corrected; also the lifetime of a lease.
+# Time for which a debt must last before it is corrected, and lifetime of a lease, both in counter timeouts.
 LEASE_TIMEOUTS = 10.0
 
 
@@ -54,8 +54,8 @@
     def request_if_out_of_range(self, now: float, customer: Customer, sampling_rate: float) -> None:
         """Request the lease of a customer's count if the quota's level is outside the bucket's range.
 
-        Credit is corrected at once.  Debt must last: other gateways soon take back the units of requests that
-        they asked about and then rejected.
+        Credit is corrected immediately.  Debt must last, because it may be temporary: other gateways soon
+        take back the units of requests that they asked about and then rejected.
         """
         count = customer.counted_use
         burst = customer.plan.burst
--- a/ingress/decisions/count_learning.py
+++ b/ingress/decisions/count_learning.py
@@ -13,13 +13,13 @@
         self.max_request_units = settings.max_request_units
 
     def apply_total(self, now: float, call: CounterCall, total: float, process_started_at: float) -> None:
-        """Apply a successful reply: with the units of the call added, the count is `total` units."""
+        """Apply a successful reply to `call`; `total` is the count in units after the call."""
         customer = call.customer
         count = customer.counted_use
         count.record_added_units(call.units)
         peer_units = total - count.own_units
         peer_units_increase = peer_units - count.peer_units
-        # The level is computed before the ceiling is updated, because it may add to the unreported use.
+        # The level is computed first, because this may add to the unreported use, which the ceiling needs.
         count.quota_level = self._level_from_total(now, customer, total)
         if customer.plan.ceiling_rate:
             self._update_ceiling(now, customer, peer_units, peer_units_increase, process_started_at)
@@ -72,7 +72,7 @@
             peer_units_increase=peer_units_increase,
             own_units=count.own_units + count.unreported_units - awaiting_units,
         )
-        # A total falls when other gateways take back the units of requests that they rejected.  A larger
-        # decrease than that can explain means that the counter has lost the count.
+        # A total falls when other gateways take back the units of requests that they rejected.  A decrease
+        # too large for this cause means that the counter has lost the count.
         count_was_lost = peer_units_increase < -self.max_request_units * customer.assigned_instances
         customer.ceiling.update_from_count(now, use, count_was_lost)
--- a/ingress/decisions/count_sampling.py
+++ b/ingress/decisions/count_sampling.py
@@ -16,8 +16,8 @@
 MIN_SAMPLING_RATE = 0.05  # keeps some calls going to a failing counter, so that its recovery is noticed
 SAMPLING_RATE_DECREASE = 0.5  # share by which a failed call lowers the rate
 SAMPLING_RATE_INCREASE = 0.02  # added to the rate by each fast reply
-# A reply within this share of the time-out is fast: it shows that the counter has spare capacity.  The share
-# is above one half because a distant gateway may spend half of the time-out on the round trip.
+# A reply within this share of the timeout is fast: it shows that the counter has spare capacity.  The share
+# is above one half because a distant gateway may spend half of the timeout on the round trip.
 FAST_REPLY_TIMEOUT_SHARE = 0.6
 INITIAL_QUOTA_AVAILABLE_PROBABILITY = 0.5
 # Share of a request's units.  If the slice holds less than that, the customer is probably over its quota.
@@ -43,7 +43,7 @@
         self.quota_available_probability = {
             plan.name: INITIAL_QUOTA_AVAILABLE_PROBABILITY for plan in settings.plans
         }
-        """Share of the requests awaiting a reply for which it showed enough quota, by the plan's name."""
+        """Running estimate of the probability that a total shows enough quota for a request, by plan name."""
 
     def sample_request(self, request: PendingRequest, is_ceiling_slice_short: bool) -> bool:
         """Return whether to ask the counter about the request; if so, add its units to the unreported use.
@@ -97,8 +97,9 @@
     def should_admit_unsampled(self, request: PendingRequest) -> bool:
         """Return whether sending a request that was not sampled pays on average.
 
-        It does not pay for a customer that sends more than its quota.  Such a customer is recognised by its
-        requests, which return to each gateway before the slice has refilled by their units.
+        It does not pay for a customer that sends more than its quota.  Signs of such a customer are a request
+        that arrives before the slice has refilled by its units since the previous request, and a client's
+        retry when the slice is low.
         """
         if request.arrived_before_refill:
             return False
--- a/ingress/decisions/counter_calls.py
+++ b/ingress/decisions/counter_calls.py
@@ -42,14 +42,17 @@
         )
 
     def complete_call(self, name: int) -> CounterCall | None:
-        """Remove and return the call for the count `name`, which has its reply; None if it is not known."""
+        """Remove and return the call for the count `name`, whose reply has arrived; None if there is none."""
         call = self.in_flight.pop(name, None)
         if call is not None:
             call.customer.counted_use.has_call_in_flight = False
         return call
 
     def report_use_if_large(self, now: float, customer: Customer) -> None:
-        """Report the customer's use if it is large; a small use is reported with the next request's call."""
+        """Report the customer's use if it is large and no call for its count is in flight.
+
+        A small use is reported with the call for a later request.
+        """
         count = customer.counted_use
         is_large = abs(count.unreported_units) > MIN_REPORTED_BURSTS * customer.plan.burst
         if is_large and not count.has_call_in_flight:
--- a/ingress/decisions/customer.py
+++ b/ingress/decisions/customer.py
@@ -53,7 +53,7 @@
         self.counted_use = CountedUse(now)
         """The customer's count at the shared counter."""
         self.total_used_units = 0.0
-        """Units used here since the start of this process, as reported to peers."""
+        """Units used by this gateway since its process started, as reported to peers."""
         self.requests_awaiting_counter: list[QuotaRequest] = []
         """The customer's requests that await a reply of the counter, oldest first."""
 
@@ -100,7 +100,7 @@
         return assigned_indices - {settings.instance_index}
 
     def has_units_in_slice(self, now: float, units: float) -> bool:
-        """Return whether the slice has `units`, for which it may fill beyond its capacity if necessary."""
+        """Return whether the slice has `units`; if they exceed its capacity, it may fill up to them."""
         return self.slice.has_units(now, units, max(self.slice.capacity, units))
 
     def is_under_ceiling(self, now: float, units: float) -> bool:
@@ -108,18 +108,19 @@
         total_is_current = self.estimate.reported_at == now
         return self.ceiling.has_units(now, units, self.assigned_instances, total_is_current)
 
-    def charge_request(self, now: float, request: QuotaRequest, reported: bool) -> None:
-        """Charge a request to the quota; `reported` says that the counter has its units or will get them.
+    def charge_request(self, now: float, request: QuotaRequest, is_reported: bool) -> None:
+        """Charge a request to the quota.
 
-        The slice does not fall below zero: the rest is charged to what other gateways have not used of the
-        complete quota.
+        `is_reported` says that the request needs no report: its units were counted when it was sampled, or
+        sampled requests represent it.  The slice does not fall below zero: the rest is charged to what other
+        gateways have not used of the complete quota.
         """
         accounting = request.accounting
-        accounting.reported_units = accounting.counted_units if reported else request.units
+        accounting.reported_units = accounting.counted_units if is_reported else request.units
         accounting.estimate_charge = min(request.units, max(0.0, self.estimate.level(now)))
         self.estimate.own_use += accounting.estimate_charge
         accounting.charges.append(Charge(self.slice, self.slice.take_units(request.units, 0.0)))
-        self.counted_use.unreported_units += 0.0 if reported else request.units
+        self.counted_use.unreported_units += 0.0 if is_reported else request.units
         self.total_used_units += request.units
 
     def refund_request(self, request: QuotaRequest) -> None:
@@ -134,9 +135,9 @@
         accounting.estimate_charge = 0.0
         accounting.reported_units = 0.0
 
-    def settle_units(self, units: float) -> None:
-        """Charge the true units of a request minus its estimated ones; a negative difference is refunded."""
-        self.estimate.own_use += units
-        self.slice.refund_units(-units)
-        self.counted_use.unreported_units += units
-        self.total_used_units += units
+    def settle_units(self, difference: float) -> None:
+        """Charge `difference`, a request's true units minus the estimated ones; refund it if negative."""
+        self.estimate.own_use += difference
+        self.slice.refund_units(-difference)
+        self.counted_use.unreported_units += difference
+        self.total_used_units += difference
--- a/ingress/decisions/final_answers.py
+++ b/ingress/decisions/final_answers.py
@@ -1,4 +1,4 @@
-"""The final answers that a gateway gives itself, without a backend: rejected or failed."""
+"""The final answers that do not come from a backend: a request is rejected or has failed."""
 
 import ingress.interface as api
 from ingress.decisions.action_sink import ActionSink
@@ -34,7 +34,8 @@
     def _retry_after(self, request: PendingRequest) -> float:
         """Return the value of Retry-After (s): the time in which the quota refills by the request's units.
 
-        It is based on the quota of the whole fleet, as the client may send its retry to another gateway.
+        It is based on the complete quota, as the client may send its retry to another gateway.  0 means that
+        no Retry-After is sent.
         """
         if not request.plan.rate or not self.settings.sends_retry_after:
             return 0.0
--- a/ingress/decisions/gateway.py
+++ b/ingress/decisions/gateway.py
@@ -107,7 +107,7 @@
         return self.sink.actions
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Handle an event that came at `now` (s, never less than before); return the resulting actions."""
+        """Handle an event that occurred at `now` (s, never decreases); return the resulting actions."""
         self.sink.begin_event()
         if not self.process_start.is_known:
             self._start_process(now)
--- a/ingress/decisions/gossip_exchange.py
+++ b/ingress/decisions/gossip_exchange.py
@@ -12,16 +12,18 @@
     """The exchange of use reports with the other gateways."""
 
     def __init__(
-        self, peer_reports: PeerReports, admission: Admission, process: ProcessStart, sink: ActionSink
+        self, peer_reports: PeerReports, admission: Admission, process_start: ProcessStart, sink: ActionSink
     ) -> None:
         self.peer_reports = peer_reports
         self.admission = admission
-        self.process = process
+        self.process_start = process_start
         self.sink = sink
 
     def receive_report(self, now: float, event: api.GossipReceived) -> None:
-        """Take the use that a peer reports off the estimates of the customers that are known here."""
-        for customer_hash, units in self.peer_reports.read_report(event, now, self.process.incarnation):
+        """Subtract the use that a peer reports from the estimates of the customers known to this gateway."""
+        for customer_hash, units in self.peer_reports.record_report(
+            event, now, self.process_start.incarnation
+        ):
             customer = self.admission.customers_by_hash.get(customer_hash)
             if customer is not None:
                 customer.estimate.record_peer_use(now, units)
@@ -31,7 +33,7 @@
         customers = [c for c in self.admission.customers_by_key.values() if c.counted_use.unreported_units]
         customers.sort(key=lambda customer: -abs(customer.counted_use.unreported_units))
         totals = ((customer.hash, customer.total_used_units) for customer in customers)
-        report = format_report(self.process.incarnation, totals)
+        report = format_report(self.process_start.incarnation, totals)
         for customer in customers[: report.included_count]:
             customer.counted_use.unreported_units = 0.0
         self.sink.emit(api.SendGossip(report.text))
--- a/ingress/decisions/overload.py
+++ b/ingress/decisions/overload.py
@@ -36,9 +36,11 @@
         self.in_flight_weight = 0.0
         """Sum of the weights in `counted_attempts`."""
         self.mean_in_flight_weight = BUSY_LATENCY_SHARE
-        """Smoothed value of `in_flight_weight` times the averaging time, plus the initial value."""
+        """Smoothed value of `in_flight_weight` times the averaging time, plus `BUSY_LATENCY_SHARE`."""
         self.mean_send_count = 1.0
-        """Smoothed number of attempts sent in an averaging time, plus one."""
+        """Smoothed number of attempts sent in an averaging time, plus one.
+
+        The terms added to the two means make their ratio `BUSY_LATENCY_SHARE` before the first attempt."""
         self.updated_at = NEVER
         """Time of the latest update of the two means (s)."""
         self.exploratory_attempt: AttemptKey | None = None
@@ -70,8 +72,8 @@
         """Update and return the mean time that attempts stay in flight, in latency objectives.
 
         By Little's law it is the number of attempts in flight divided by the rate at which they are sent, so
-        it grows even before an answer comes.  Each attempt counts only for a limited time, so that a few lost
-        attempts do not look like an overload.
+        it grows even before an answer arrives.  Each attempt counts only for a limited time, so that a few
+        lost attempts do not look like an overload.
         """
         while self.counted_attempts and next(iter(self.counted_attempts.values())).counted_until < now:
             self._stop_counting(next(iter(self.counted_attempts)))
--- a/ingress/decisions/peer_reports.py
+++ b/ingress/decisions/peer_reports.py
@@ -47,8 +47,8 @@
                 return False
         return True
 
-    def read_report(self, event: api.GossipReceived, now: float, own_incarnation: int) -> list[ReportedUse]:
-        """Return the use in a message that earlier messages of the peer did not report.
+    def record_report(self, event: api.GossipReceived, now: float, own_incarnation: int) -> list[ReportedUse]:
+        """Record a peer's message and return the use that the peer's earlier messages did not report.
 
         A malformed message, or one of an earlier process of the peer, is ignored.
         """
@@ -68,12 +68,12 @@
     def _update_totals(self, peer: PeerState, report: UseReport, own_incarnation: int) -> list[ReportedUse]:
         """Update the peer's totals and return their increases."""
         increases = []
-        # The first total of a peer that started before this process includes use that may be long past, so it
+        # The first total of a peer that started before this process may include use from long ago, so it
         # serves only as the baseline for later totals.
         peer_started_later = report.incarnation >= own_incarnation
         for customer_hash, total in report.totals:
-            last = peer.totals.get(customer_hash, 0.0 if peer_started_later else total)
-            peer.totals[customer_hash] = max(last, total)
-            if total > last:
-                increases.append(ReportedUse(customer_hash, total - last))
+            last_total = peer.totals.get(customer_hash, 0.0 if peer_started_later else total)
+            peer.totals[customer_hash] = max(last_total, total)
+            if total > last_total:
+                increases.append(ReportedUse(customer_hash, total - last_total))
         return increases
--- a/ingress/decisions/quota_estimate.py
+++ b/ingress/decisions/quota_estimate.py
@@ -5,15 +5,15 @@
 import ingress.interface as api
 from ingress.decisions.constants import NEVER
 
-LIFETIME_SHARE = 0.5  # of the time in which a burst refills: how long a report of use is valid
-DEFAULT_LIFETIME_S = 1.0  # for plans without a rate
+LIFETIME_SHARE = 0.5  # lifetime of a report of use, as a share of the time in which a burst refills
+DEFAULT_LIFETIME_S = 1.0  # lifetime of a report of use for plans without a rate
 
 
 class QuotaEstimate:
     """The estimated level of the token bucket that all gateways share for one customer.
 
     The estimate is a local copy of that bucket, from which the use that the counter or the peers report is
-    taken off.  Between two reports, the other gateways are assumed to keep using units at the rate that the
+    subtracted.  Between two reports, the other gateways are assumed to keep using units at the rate that the
     last report showed.
     """
 
@@ -29,13 +29,13 @@
         self.level_at_update = plan.burst
         """Units left at `updated_at`."""
         self.own_use = 0.0
-        """Units used here since `updated_at`."""
+        """Units used by this gateway since `updated_at`."""
         self.peer_use_rate = 0.0
         """Units per second that the other gateways are assumed to use."""
         self.updated_at = now
-        """Time in seconds of the last report; before the first one, of the customer's first request here."""
+        """Time in seconds of the last report; before the first one, of the customer's first request."""
         self.reported_at = NEVER
-        """Time in seconds of the last report."""
+        """Time in seconds of the last report; `NEVER` before the first one."""
 
     def is_fresh(self, now: float) -> bool:
         """Return whether the last report is still valid."""
--- a/ingress/decisions/quota_request.py
+++ b/ingress/decisions/quota_request.py
@@ -16,11 +16,11 @@
     charges: list[Charge] = field(default_factory=list)
     """Units taken from each bucket."""
     estimate_charge: float = 0.0
-    """Units taken off the estimate of the complete quota."""
+    """Units subtracted from the estimate of the complete quota."""
     reported_units: float = 0.0
     """Units that the counter knows of, or will get with a later call."""
     counted_units: float = 0.0
-    """Units that a call to the counter has added for the request."""
+    """Units counted for the request when it was sampled; 0 once they are charged or taken back."""
     is_covered_by_samples: bool = False
     """Whether the counter was not asked because sampled requests represent this one in the count."""
 
--- a/ingress/decisions/request.py
+++ b/ingress/decisions/request.py
@@ -46,9 +46,9 @@
         self.is_client_retry = event.is_client_retry
         """Whether the client marked the request as a retry."""
         self.arrived_before_refill = self._arrives_before_refill(now)
-        """Whether the customer's slice could not refill by the request's units since its previous request."""
+        """Whether the slice has had too little time since the previous request to refill by `units`."""
         self.deadline = now + event.remaining_time
-        """Time (s) at which the client stops waiting; infinite once the answer, a stream, has begun."""
+        """Time (s) at which the client stops waiting; infinite once a streamed answer has begun."""
         self.is_too_late = False
         """Whether the request can no longer be answered within its latency objective."""
         self.is_finished = False
@@ -86,7 +86,7 @@
         )
 
     def max_write_delay(self, now: float) -> float:
-        """Return the seconds within which one more attempt has to be written; 0: no limit.
+        """Return the seconds within which one more attempt has to be written; 0 means no limit.
 
         Backends deduplicate a request only for a limited time.  If the connection for a further attempt were
         established after that time, the backend would execute the request a second time.
--- a/ingress/decisions/request_decision.py
+++ b/ingress/decisions/request_decision.py
@@ -74,7 +74,7 @@
         waiting_requests = customer.requests_awaiting_counter
         customer.requests_awaiting_counter = []
         for request in waiting_requests:
-            # `Customer` cannot import `PendingRequest`, which imports it; `RequestIntake` adds no other type.
+            # The list holds only `PendingRequest`s; its declared type avoids a circular import in `customer`.
             self.decide(now, cast(PendingRequest, request))
         if event.outcome is api.Outcome.OK:
             self.counter.correct_count(now, customer)
--- a/ingress/decisions/request_intake.py
+++ b/ingress/decisions/request_intake.py
@@ -32,13 +32,13 @@
         self.request_decision = request_decision
         self.final_answers = final_answers
         self.process_start = process_start
-        self.classes = {request_class.name: request_class for request_class in settings.classes}
-        self.plans = {plan.name: plan for plan in settings.plans}
+        self.classes_by_name = {request_class.name: request_class for request_class in settings.classes}
+        self.plans_by_name = {plan.name: plan for plan in settings.plans}
         self.first_try_remaining_times: dict[str, float] = {}
         """Remaining time (s) of the latest request that was not marked as a retry, by request class."""
 
     def receive_request(self, now: float, event: api.Request) -> None:
-        """Accept a request and decide on it, at once or after a reply of the shared counter."""
+        """Accept a request and decide on it, immediately or after a reply of the shared counter."""
         request = self._create_pending_request(now, event)
         if request.is_too_late and not request.request_class.late_weight_share:
             self.final_answers.finish_request(request)
@@ -48,8 +48,8 @@
             self.request_decision.decide(now, request)
 
     def _create_pending_request(self, now: float, event: api.Request) -> PendingRequest:
-        plan = self.plans[event.plan]
-        request_class = self.classes[event.request_class]
+        plan = self.plans_by_name[event.plan]
+        request_class = self.classes_by_name[event.request_class]
         customer = self.admission.get_or_create_customer(now, event, plan, self.process_start.age(now))
         request = PendingRequest(event, request_class, customer, now)
         self.requests[event.id] = request
@@ -86,7 +86,7 @@
             request.is_finished = True
 
     def record_stream_start(self, _now: float, event: api.StreamStarted) -> None:
-        """Remove the deadline of a request whose answer, a stream, has begun."""
+        """Remove the deadline of a request whose streamed answer has begun."""
         request = self.requests.get(event.id)
         if request is not None:
             request.deadline = float("inf")
--- a/ingress/decisions/retry_policy.py
+++ b/ingress/decisions/retry_policy.py
@@ -1,4 +1,4 @@
-"""The retry policy: the retry budget, and the time-out after which a retry may replace an attempt."""
+"""The retry policy: the retry budget, and the timeout after which a retry may replace an attempt."""
 
 import ingress.interface as api
 from ingress.decisions.answer_times import AnswerTimes
@@ -48,8 +48,8 @@
     def attempt_timeout(self, now: float, request: PendingRequest) -> float:
         """Return the seconds after which the latest attempt of `request` is given up.
 
-        An attempt may last until the deadline.  If another attempt may follow in time, it is given up as soon
-        as it is likely to be lost.
+        An attempt may last until the deadline.  If another attempt may follow in time, the first one is given
+        up as soon as it is considered lost.
         """
         remaining_time = request.deadline - now
         lost_after = self._lost_after(request.request_class)
@@ -59,6 +59,7 @@
         return remaining_time
 
     def _lost_after(self, request_class: api.RequestClass) -> float:
+        """Return the seconds after which an attempt of the class is considered lost."""
         return max(
             LOST_AFTER_MEANS * self.answer_times.mean(request_class),
             LOST_AFTER_OBJECTIVES * request_class.latency_objective,
--- a/ingress/decisions/timers.py
+++ b/ingress/decisions/timers.py
@@ -10,10 +10,11 @@
 
 TICK_TOKEN = 0  # token of the timer for the periodic work
 DISCOVERY_TOKEN = 1  # token of the timer for the retry of a failed discovery call
-# Between two reports of use; short compared with a burst, long compared with a request.
+# Minimum time between two reports of use: short compared with the duration of a burst, long compared with
+# that of a request.
 MIN_REPORT_PERIOD_S = 0.25
 RECEIVE_RATE_MARGIN = 2  # ratio of the message rate that a gateway can receive to the rate sent to it
-EVICTION_PERIOD_S = 60.0  # between two evictions of idle customers
+EVICTION_PERIOD_S = 60.0  # time between two evictions of idle customers
 MIN_DISCOVERY_RETRY_SHARE = 0.1  # minimum delay of a discovery retry, as a share of the poll interval
 MAX_DISCOVERY_RETRY_SHARE = 0.25  # maximum delay of a discovery retry, as a share of the poll interval
 
--- a/ingress/decisions/token_bucket.py
+++ b/ingress/decisions/token_bucket.py
@@ -1,4 +1,4 @@
-"""A token bucket whose clock is passed in by the caller."""
+"""A token bucket that reads no clock: its callers pass the time."""
 
 from dataclasses import dataclass
 from math import inf
@@ -37,7 +37,10 @@
         self.has_units(now, 0.0)
 
     def take_units(self, units: float, floor: float = -inf) -> float:
-        """Take up to `units` without letting the level fall below `floor`; return the units taken."""
+        """Take up to `units` without letting the level fall below `floor`; return the units taken.
+
+        A level that is below `floor` already is raised to it, and the result is negative.
+        """
         taken = min(units, self.level - floor)
         self.level -= taken
         return taken
--- a/ingress/decisions/usage_counter.py
+++ b/ingress/decisions/usage_counter.py
@@ -1,4 +1,4 @@
-"""Use of the shared counter: asks it about requests, reports use to it, and processes its replies.
+"""The interface of a gateway to the shared counter: questions about requests, reports of use, and replies.
 
 Each customer has a count at the counter, to which every gateway adds the units of the requests that it sends.
 The count's total shows how much is left of the customer's quota.
@@ -21,9 +21,9 @@
     """The interface of the shared counter for the other modules of the package."""
 
     def __init__(
-        self, settings: api.Settings, rng: random.Random, enabled: bool, emit: Callable[[api.Action], None]
+        self, settings: api.Settings, rng: random.Random, is_enabled: bool, emit: Callable[[api.Action], None]
     ) -> None:
-        self.is_enabled = enabled
+        self.is_enabled = is_enabled
         """Whether this deployment uses the counter."""
         self.last_success_at = NEVER
         """Time in seconds of the last reply to a successful call."""
@@ -84,7 +84,7 @@
             self.calls.report_large_use(now)
 
     def handle_reply(self, now: float, event: api.CounterReply, process_started_at: float) -> Customer | None:
-        """Process a reply; return the customer whose call it answers, or None if there is none."""
+        """Process a reply; return the customer whose call it answers, None if it answers no such call."""
         if self.leases.handle_reply(now, event):
             return None
         call = self.calls.complete_call(event.name)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission by quota: by the slice, by the counter's totals, and without an overloaded counter."""
+"""Admission by quota: by the slice, by the counter's totals, and unsampled with an overloaded counter."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 
-def test_slice_admits_its_part_of_the_burst_and_rejects_the_rest_at_once() -> None:
+def test_slice_admits_its_part_of_the_burst_and_rejects_the_rest() -> None:
     harness = GatewayHarness()
     assert deliver_requests(harness, 10) == 4  # burst 8 over two gateways
     rejection = harness.deliver_request()[-1]
@@ -57,7 +57,7 @@
 
 
 def test_undersized_slice_asks_the_counter_and_its_total_decides() -> None:
-    for total, passes in ((1.0, True), (9.0, False)):  # units used of a burst of 8, this request's included
+    for total, is_sent in ((1.0, True), (9.0, False)):  # units used of a burst of 8, this request's included
         harness = GatewayHarness(LARGE_FLEET_SETTINGS)
         harness.gateway.counter.sampling.rate = 1.0
         harness.now = get_count_start_time(3)  # the customer's count has just begun
@@ -65,7 +65,7 @@
         answer = harness.deliver_event(
             0.001, CounterReply(list_counter_calls(harness)[-1].name, Outcome.OK, total, 0.001)
         )
-        assert bool(find_sent_attempts(answer)) is passes
+        assert bool(find_sent_attempts(answer)) is is_sent
 
 
 def test_customer_is_limited_to_its_slice_while_the_counter_fails() -> None:
@@ -92,39 +92,38 @@
 
 
 def test_unsampled_request_is_sent_if_that_pays_and_the_counter_is_up() -> None:
-    for cost, passes in ((0.5, True), (1.5, False)):
+    for cost, is_sent in ((0.5, True), (1.5, False)):
         harness = GatewayHarness(
             replace(LARGE_FLEET_SETTINGS, plans=(replace(BASIC_PLAN, over_quota_cost_share=cost),))
         )
         mark_counter_overloaded(harness)
-        assert bool(find_sent_attempts(harness.deliver_request(assigned_instances=100))) is passes
+        assert bool(find_sent_attempts(harness.deliver_request(assigned_instances=100))) is is_sent
         harness.now += 20.0  # a counter without a reply for 20 s is down, not overloaded
         assert not find_sent_attempts(harness.deliver_request(assigned_instances=100))
 
 
 def test_requests_that_come_before_the_slice_refills_are_not_admitted_unsampled() -> None:
-    """Customers that sent more than their quotas to 45 gateways caused nearly all attempts beyond quotas."""
+    """Otherwise customers over their quotas cause nearly all attempts beyond quotas, as with 45 gateways."""
     harness = GatewayHarness(
         replace(LARGE_FLEET_SETTINGS, plans=(replace(BASIC_PLAN, over_quota_cost_share=1.0),))
     )
     harness.gateway.counter.sampling.quota_available_probability["basic"] = 0.95
-    refill_time = (
-        100 / BASIC_PLAN.rate
-    )  # seconds in which the slice of one of 100 gateways refills by one unit
+    # Seconds in which the slice of one of 100 gateways refills by one unit.
+    refill_time = 100 / BASIC_PLAN.rate
 
-    def ask(after: float, customer: str) -> bool:
-        harness.now += after
+    def send_request(delay_s: float, customer: str) -> bool:
+        harness.now += delay_s
         mark_counter_overloaded(harness)
-        sent = find_sent_attempts(harness.deliver_request(assigned_instances=100, customer=customer))
-        for send in sent:
-            harness.end_attempt(send)
-        return bool(sent)
+        attempts = find_sent_attempts(harness.deliver_request(assigned_instances=100, customer=customer))
+        for attempt in attempts:
+            harness.end_attempt(attempt)
+        return bool(attempts)
 
-    assert ask(0.0, "excessive")  # a first request is admitted: most customers keep to their quotas
+    assert send_request(0.0, "excessive")  # a first request is admitted: most customers keep to their quotas
     # No more requests are sent than the slice refills units.
-    assert sum(ask(refill_time / 5, "excessive") for _ in range(20)) <= 4
-    assert ask(0.0, "other")
-    assert ask(refill_time * 1.01, "excessive")  # after a pause the customer is admitted again
+    assert sum(send_request(refill_time / 5, "excessive") for _ in range(20)) <= 4
+    assert send_request(0.0, "other")
+    assert send_request(refill_time * 1.01, "excessive")  # after a pause the customer is admitted again
 
 
 @pytest.mark.parametrize(
--- a/tests/decisions/test_attempt_outcomes.py
+++ b/tests/decisions/test_attempt_outcomes.py
@@ -1,4 +1,4 @@
-"""The end of attempts: each request gets one final answer, which guarantees no more than is known."""
+"""The end of attempts: each request gets one final answer, which permits a retry only if that is safe."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_ceiling.py
+++ b/tests/decisions/test_ceiling.py
@@ -17,10 +17,11 @@
 )
 
 
-def send_first_request_of_process(age: float, others: float) -> tuple[GatewayHarness, bool]:
-    """Send a first request of 4 units to a process started `age` seconds ago; return whether it is sent on.
+def send_first_request_of_process(age: float, peer_units: float) -> tuple[GatewayHarness, bool]:
+    """Deliver a first request of 4 units to a process started `age` seconds ago.
 
-    The counter replies that other gateways have used `others` units.  The gateway is returned too.
+    The counter replies that the other gateways have used `peer_units` units.  Return the gateway, and whether
+    it sent the request to a backend.
     """
     harness = GatewayHarness(replace(COUNTER_SETTINGS, plans=(CEILING_PLAN,), max_request_units=4))
     harness.gateway.counter.sampling.rate = 1.0
@@ -29,7 +30,7 @@
     call = list_counter_calls(harness)[-1]
     return harness, bool(
         find_sent_attempts(
-            harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, call.add + others, 0.001))
+            harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, call.add + peer_units, 0.001))
         )
     )
 
@@ -92,7 +93,7 @@
             assert level > -plan.ceiling_slack
 
 
-def test_new_process_starts_with_an_empty_ceiling_and_never_exceeds_it() -> None:
+def test_new_process_admits_no_more_than_its_ceiling_slice_refills() -> None:
     harness = GatewayHarness(replace(SETTINGS, plans=(SMALL_CEILING_PLAN,)))
     sent_count = 0
     for _ in range(200):
@@ -104,8 +105,8 @@
 
 
 def test_resizing_or_evicting_a_customer_does_not_refill_its_ceiling() -> None:
-    slow = replace(SMALL_CEILING_PLAN, rate=100.0, burst=100.0, ceiling_rate=0.02, ceiling_burst=8.0)
-    harness = GatewayHarness(replace(SETTINGS, plans=(slow,)))
+    slow_plan = replace(SMALL_CEILING_PLAN, rate=100.0, burst=100.0, ceiling_rate=0.02, ceiling_burst=8.0)
+    harness = GatewayHarness(replace(SETTINGS, plans=(slow_plan,)))
     harness.now += 10000.0
     sent_count = 0
     for n in range(300):
--- a/tests/decisions/test_correction_lease.py
+++ b/tests/decisions/test_correction_lease.py
@@ -54,7 +54,7 @@
     """A call on its way to the shared counter."""
 
     arrives_at: float
-    """Time in seconds when it arrives at the counter."""
+    """Time in seconds when the call arrives at the counter."""
     harness: GatewayHarness
     """The gateway that sent the call."""
     call: IncrementCounter
@@ -77,15 +77,16 @@
             harness.now = start
             harness.gateway.counter.sampling.rate = 1.0
 
-    def ask(self, index: int, units: float = 1.0) -> None:
+    def send_request(self, index: int, units: float = 1.0) -> None:
+        """Deliver a request to the gateway with this index and process the resulting actions."""
         harness = self.harnesses[index]
         harness.now = max(harness.now, self.now)
         self._process_actions(harness, harness.deliver_request(units=units, assigned_instances=GATEWAYS))
 
     def _process_actions(self, harness: GatewayHarness, actions: list[Action]) -> None:
-        for send in find_sent_attempts(actions):
+        for attempt in find_sent_attempts(actions):
             self.sent_count += 1
-            harness.end_attempt(send, delay_s=0.0)
+            harness.end_attempt(attempt, delay_s=0.0)
         for call in find_counter_calls(actions):
             self.count_name = call.name if call.lifetime > 30.0 else self.count_name
             self.in_flight.append(CallInFlight(self.now + ONE_WAY_S, harness, call))
@@ -93,7 +94,7 @@
     def deliver_calls(self) -> None:
         """Execute calls and deliver their replies until no call is in flight."""
         while self.in_flight:
-            self.in_flight.sort(key=lambda each: each.arrives_at)
+            self.in_flight.sort(key=lambda call: call.arrives_at)
             next_call = self.in_flight.pop(0)
             self.now = max(self.now, next_call.arrives_at)
             total = self.counter.add(self.now, next_call.call)
@@ -124,7 +125,7 @@
     fleet = FleetWithCounter()
     fleet.now += 20.0  # 40 units of credit beyond the burst
     for index in range(asking):
-        fleet.ask(index)
+        fleet.send_request(index)
     fleet.deliver_calls()
     assert fleet.sent_count >= min(asking, BASIC_PLAN.burst)
     assert fleet_quota_level(fleet) == pytest.approx(BASIC_PLAN.burst - fleet.sent_count, abs=0.5)
@@ -132,20 +133,21 @@
 
 def test_debt_is_corrected_once_however_many_gateways_see_it() -> None:
     fleet = FleetWithCounter()
-    fleet.ask(0)
+    fleet.send_request(0)
     fleet.deliver_calls()
     # The debt comes from another gateway, whose requests were all over quota.
     fleet.counter.add(fleet.now, IncrementCounter(fleet.count_name, 50.0, 60.0))
     for _ in range(12):  # 1.2 s: longer than a debt must last to be corrected
         for index in range(10):
-            fleet.ask(index)
+            fleet.send_request(index)
         fleet.deliver_calls()
         fleet.now += 0.1
     assert -1.0 <= fleet_quota_level(fleet) <= 3.0
 
 
-def ask_for_count_name(fleet: FleetWithCounter) -> int:
-    fleet.ask(0)
+def send_request_and_get_count_name(fleet: FleetWithCounter) -> int:
+    """Send a request through the first gateway and return the name of the customer's count."""
+    fleet.send_request(0)
     fleet.deliver_calls()
     return fleet.count_name
 
@@ -153,10 +155,10 @@
 def test_debt_seen_once_is_not_corrected() -> None:
     fleet = FleetWithCounter()
     fleet.now += 4.0  # no gateway has seen a debt yet
-    fleet.counter.add(fleet.now, IncrementCounter(ask_for_count_name(fleet), 50.0, 60.0))
+    fleet.counter.add(fleet.now, IncrementCounter(send_request_and_get_count_name(fleet), 50.0, 60.0))
     level_before = fleet_quota_level(fleet)
     for index in range(10):
-        fleet.ask(index)
+        fleet.send_request(index)
     fleet.deliver_calls()
     assert fleet_quota_level(fleet) == pytest.approx(level_before, abs=0.1)
 
@@ -190,7 +192,7 @@
     )  # the next epoch has begun
 
 
-def ask_for_corrections(harness: GatewayHarness, total: float) -> list[float]:
+def collect_corrections(harness: GatewayHarness, total: float) -> list[float]:
     """Send a request, grant all leases, and return the units that are added as corrections."""
     harness.deliver_request(assigned_instances=100)
     call = find_counter_calls(harness.actions)[-1]
@@ -205,13 +207,13 @@
 
 
 def test_count_outside_its_range_is_corrected() -> None:
-    """Credit is corrected at once; debt must last, because other gateways may soon take units back."""
+    """Credit is corrected immediately; debt must last, because other gateways may soon take units back."""
     harness = GatewayHarness(LARGE_FLEET_SETTINGS)
     harness.gateway.counter.sampling.rate = 1.0
     harness.now = get_count_start_time(3)
-    assert ask_for_corrections(harness, -40.0) == [pytest.approx(40.0, abs=1.1)]
+    assert collect_corrections(harness, -40.0) == [pytest.approx(40.0, abs=1.1)]
     harness.now += 0.2
-    assert ask_for_corrections(harness, 30.0) == []
+    assert collect_corrections(harness, 30.0) == []
     harness.now += 20 * LARGE_FLEET_SETTINGS.counter_timeout
     # The correction leaves an empty quota.
-    assert sum(ask_for_corrections(harness, 30.0)) == pytest.approx(-20.0, abs=4.6)
+    assert sum(collect_corrections(harness, 30.0)) == pytest.approx(-20.0, abs=4.6)
--- a/tests/decisions/test_count_learning.py
+++ b/tests/decisions/test_count_learning.py
@@ -21,10 +21,10 @@
     for harness in harnesses:
         harness.now = harness.gateway.process_start.started_at = next_count_starts_at - 4.0
 
-    def ask(harness: GatewayHarness) -> int:
+    def send_request(harness: GatewayHarness) -> int:
         nonlocal count_names
         actions = harness.deliver_request(0.01)
-        sent = find_sent_attempts(actions)
+        attempts = find_sent_attempts(actions)
         while calls := find_counter_calls(actions):
             actions = []
             for call in calls:
@@ -33,15 +33,15 @@
                 actions += harness.deliver_event(
                     0.001, CounterReply(call.name, Outcome.OK, totals[call.name], 0.001)
                 )
-            sent += find_sent_attempts(actions)
-        for send in sent:
-            harness.end_attempt(send, Outcome.OK, 0.001)
-        return len(sent)
+            attempts += find_sent_attempts(actions)
+        for attempt in attempts:
+            harness.end_attempt(attempt, Outcome.OK, 0.001)
+        return len(attempts)
 
-    sent = {False: 0, True: 0}
+    sent_counts = {False: 0, True: 0}  # by whether the next count has begun
     while harnesses[0].now < next_count_starts_at + 1.0:
         for harness in harnesses:
-            sent[harness.now > next_count_starts_at] += ask(harness)
+            sent_counts[harness.now > next_count_starts_at] += send_request(harness)
     assert len(count_names) == 2  # the names of leases, which have a shorter lifetime, are not included
-    assert sent[False] >= BASIC_PLAN.burst
-    assert sent[True] <= BASIC_PLAN.rate * 1.0 + 2
+    assert sent_counts[False] >= BASIC_PLAN.burst
+    assert sent_counts[True] <= BASIC_PLAN.rate * 1.0 + 2
--- a/tests/decisions/test_count_sampling.py
+++ b/tests/decisions/test_count_sampling.py
@@ -21,17 +21,17 @@
 @pytest.mark.parametrize("outcome", [Outcome.REJECTED, Outcome.CONNECT_FAILED, Outcome.TIMEOUT])
 def test_failing_counter_is_asked_less_often_until_it_recovers(outcome: Outcome) -> None:
     harness = GatewayHarness(LARGE_FLEET_SETTINGS)
-    calls = 0
+    call_count = 0
     for n in range(300):
         harness.deliver_request(0.02, customer=f"c{n}", assigned_instances=100)
-        calls += reply_to_counter_calls(harness, outcome)
-    assert 10 < calls < 100
+        call_count += reply_to_counter_calls(harness, outcome)
+    assert 10 < call_count < 100
     assert harness.gateway.counter.sampling.rate == pytest.approx(MIN_SAMPLING_RATE)
-    calls = 0
+    call_count = 0
     for n in range(200):
         harness.deliver_request(0.02, customer=f"d{n}", assigned_instances=100)
-        calls += reply_to_counter_calls(harness, Outcome.OK, 1.0)
-    assert calls > 100
+        call_count += reply_to_counter_calls(harness, Outcome.OK, 1.0)
+    assert call_count > 100
 
 
 def test_replies_within_half_of_the_timeout_raise_the_sampling_rate() -> None:
--- a/tests/decisions/test_customer.py
+++ b/tests/decisions/test_customer.py
@@ -74,9 +74,8 @@
         levels_before[0] + 4.0,
         levels_before[1] + 4.0,
     )
-    harness.end_attempt(
-        sent, Outcome.SUPERSEDED, 0.0, finished=True
-    )  # a repeated outcome is not refunded again
+    # A repeated outcome is not refunded again.
+    harness.end_attempt(sent, Outcome.SUPERSEDED, 0.0, finished=True)
     assert customer.ceiling.slice.level == levels_before[0] + 4.0
 
 
--- a/tests/decisions/test_gossip_exchange.py
+++ b/tests/decisions/test_gossip_exchange.py
@@ -24,9 +24,8 @@
     assert len(report.text.encode()) <= 256
     assert deliver_requests(receiver, 1) == 1
     receiver.deliver_event(0.25, GossipReceived(0, report.text))
-    assert (
-        0 < deliver_requests(receiver, 20) <= 4
-    )  # of a burst of 8, the sender has used 4 units and this gateway 1
+    # Of a burst of 8, the sender has used 4 units and the receiver 1.
+    assert 0 < deliver_requests(receiver, 20) <= 4
 
 
 @pytest.mark.parametrize("text", ["", "x", "1 zz", "1 a:b:c", "1 a:", "\x00\u20ac", "1 " + "f" * 250])
--- a/tests/decisions/test_overload.py
+++ b/tests/decisions/test_overload.py
@@ -18,8 +18,8 @@
 
 def test_shed_share_grows_with_the_utilization_of_the_limits() -> None:
     shares = [
-        OverloadDetector(LoadTotals(attempts_in_flight=attempts_out, limit=100.0)).shed_share(100.0)
-        for attempts_out in (0, 50, 60, 80, 100)
+        OverloadDetector(LoadTotals(attempts_in_flight=attempt_count, limit=100.0)).shed_share(100.0)
+        for attempt_count in (0, 50, 60, 80, 100)
     ]
     assert shares == sorted(shares)
     assert shares[1] < 0 < shares[2]
--- a/tests/decisions/test_plan_concurrency_limit.py
+++ b/tests/decisions/test_plan_concurrency_limit.py
@@ -14,7 +14,10 @@
     ("limit", "assigned_instances", "most"), [(3, 4, 1), (4, 4, 1), (7, 4, 2), (45, 30, 2), (3, 1, 3)]
 )
 def test_slice_of_the_concurrency_limit_is_rounded_up(limit: int, assigned_instances: int, most: int) -> None:
-    """Rounded down, the slices of four gateways allowed only 4 of 7 attempts; requests arrive unevenly."""
+    """Four slices of a limit of 7, if rounded down, would allow only 4 attempts.
+
+    Requests also arrive unevenly, so that some slices are not used up.
+    """
     harness = GatewayHarness(
         replace(SETTINGS, instance_count=30, plans=(Plan("basic", concurrency_limit=limit),))
     )
@@ -25,14 +28,14 @@
         )
         == most
     )
-    resized_play = GatewayHarness(
+    resized_harness = GatewayHarness(
         replace(SETTINGS, instance_count=30, plans=(Plan("basic", concurrency_limit=limit),))
     )
-    resized_play.deliver_request(assigned_instances=30)
+    resized_harness.deliver_request(assigned_instances=30)
     # One attempt of the customer is in flight already.
     assert (
         sum(
-            len(find_sent_attempts(resized_play.deliver_request(assigned_instances=assigned_instances)))
+            len(find_sent_attempts(resized_harness.deliver_request(assigned_instances=assigned_instances)))
             for _ in range(limit)
         )
         == most - 1
@@ -41,6 +44,5 @@
 
 def test_plan_without_a_rate_has_only_its_concurrency_limit() -> None:
     harness = GatewayHarness(replace(SETTINGS, plans=(Plan("basic", concurrency_limit=4),)))
-    assert (
-        sum(len(find_sent_attempts(harness.deliver_request())) for _ in range(5)) == 2
-    )  # a limit of 4 over two gateways
+    # A limit of 4 over two gateways.
+    assert sum(len(find_sent_attempts(harness.deliver_request())) for _ in range(5)) == 2
--- a/tests/decisions/test_request.py
+++ b/tests/decisions/test_request.py
@@ -1,4 +1,4 @@
-"""`PendingRequest`: the further attempts and the final answers that cannot make it take effect twice."""
+"""`PendingRequest`: the further attempts and final answers that cannot make a request take effect twice."""
 
 from __future__ import annotations
 
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""The retry budget, and the time-outs of attempts."""
+"""The retry budget, and the timeouts of attempts."""
 
 from __future__ import annotations
 
@@ -39,7 +39,7 @@
 
 
 def test_attempt_times_out_early_if_a_retry_may_follow() -> None:
-    # The time-out is 8 mean answer times; before the first answer, the mean is assumed to be 1/8 of the
+    # The timeout is 8 mean answer times; before the first answer, the mean is assumed to be 1/8 of the
     # latency objective.
     assert first_attempt_timeout(UNLIMITED_SETTINGS, 5.0) == pytest.approx(1.0)
 
