--- a/ingress/decisions/attempt_outcomes.py
+++ b/ingress/decisions/attempt_outcomes.py
@@ -11,7 +11,7 @@
 
 # Outcomes of attempts that no backend received.
 NOT_RECEIVED_OUTCOMES = (api.Outcome.SUPERSEDED, api.Outcome.CONNECT_FAILED)
-# Outcomes of attempts that this gateway gave up, so that they say nothing about the backend.
+# Outcomes of attempts that were cancelled or not sent, which say nothing about the backend.
 WITHDRAWN_OUTCOMES = (api.Outcome.CANCELLED, api.Outcome.SUPERSEDED)
 
 
--- a/ingress/decisions/ceiling.py
+++ b/ingress/decisions/ceiling.py
@@ -6,7 +6,8 @@
 from ingress.decisions.counted_use import MIN_REPORTED_BURSTS, NO_COUNT
 from ingress.decisions.token_bucket import Charge, TokenBucket
 
-# Share of the difference between the ceiling's burst and the quota's that a new process may use immediately.
+# Share of the difference between the ceiling's burst and the quota's burst that a new process may use
+# immediately.
 RESERVE_SHARE = 0.5
 
 
--- a/ingress/decisions/count_sampling.py
+++ b/ingress/decisions/count_sampling.py
@@ -85,7 +85,7 @@
         return request.customer.slice.level < LIKELY_OVER_QUOTA_LEVEL_SHARE * request.units
 
     def _is_worth_sending_unsampled(self, plan: api.Plan) -> bool:
-        """Return whether sending a request of the plan pays on average if the quota left is not known.
+        """Return whether sending a request of the plan pays on average if the remaining quota is not known.
 
         Let p be the probability that quota is available, and c the share of its weight that a request costs
         beyond the quota.  The request gains its weight with probability p and loses c of it otherwise, so
--- a/ingress/decisions/customer.py
+++ b/ingress/decisions/customer.py
@@ -51,7 +51,7 @@
         self.estimate = QuotaEstimate(plan, now, self.has_undersized_slice)
         """What is left of the complete quota, as far as this gateway knows."""
         self.counted_use = CountedUse(now)
-        """The customer's count at the shared counter."""
+        """This gateway's share of the customer's count at the shared counter."""
         self.total_used_units = 0.0
         """Units used by this gateway since its process started, as reported to peers."""
         self.requests_awaiting_counter: list[QuotaRequest] = []
--- a/ingress/decisions/gossip_exchange.py
+++ b/ingress/decisions/gossip_exchange.py
@@ -29,7 +29,7 @@
                 customer.estimate.record_peer_use(now, units)
 
     def send_report(self) -> None:
-        """Send the total use of as many customers as fit into one message, most unreported use first."""
+        """Send the total use of as many customers as fit into one message, the most unreported first."""
         customers = [c for c in self.admission.customers_by_key.values() if c.counted_use.unreported_units]
         customers.sort(key=lambda customer: -abs(customer.counted_use.unreported_units))
         totals = ((customer.hash, customer.total_used_units) for customer in customers)
--- a/ingress/decisions/retry_policy.py
+++ b/ingress/decisions/retry_policy.py
@@ -27,7 +27,7 @@
         """The retries that may be sent now; first attempts refill the budget, not the passing of time."""
 
     def record_first_attempt(self) -> None:
-        """Add the share of a retry that the first attempt of a request grants to the budget."""
+        """Add `RETRIES_PER_REQUEST` to the budget because the first attempt of a request was sent."""
         self.budget.level = min(self.budget.capacity, self.budget.level + RETRIES_PER_REQUEST)
 
     def record_retry(self, proves_not_executed: bool) -> None:
--- a/ingress/decisions/usage_counter.py
+++ b/ingress/decisions/usage_counter.py
@@ -107,7 +107,7 @@
     def _record_failure(self, now: float, event: api.CounterReply, call: CounterCall) -> None:
         self.sampling.record_failure(now)
         if event.outcome is api.Outcome.TIMEOUT:
-            # The units were most likely added: the counter still executes a call that has timed out here.
+            # The units were most likely added: the counter executes a call even if its reply comes too late.
             call.customer.counted_use.record_added_units(call.units)
 
     def correct_count(self, now: float, customer: Customer) -> None:
--- a/tests/decisions/test_ceiling.py
+++ b/tests/decisions/test_ceiling.py
@@ -77,6 +77,7 @@
 def test_restarts_of_all_gateways_keep_the_ceiling_when_the_quota_was_used() -> None:
     """Each process starts with new slices, but a restart must not refill the customer's ceiling."""
     plan = replace(CEILING_PLAN, rate=0.5, burst=8.0, ceiling_rate=1.0, ceiling_burst=16.0)
+    # `level` and `updated_at` are a model of the bucket of the complete ceiling.
     level, updated_at = plan.ceiling_burst, 100.0
     for restart in range(4):
         harnesses = [GatewayHarness(replace(SETTINGS, plans=(plan,), instance_index=n)) for n in range(2)]
--- a/tests/decisions/test_count_learning.py
+++ b/tests/decisions/test_count_learning.py
@@ -13,7 +13,7 @@
 
 @pytest.mark.parametrize("gateways", [1, 2])
 def test_new_count_does_not_refill_the_quota(gateways: int) -> None:
-    """Without the carry-over, a burst that lasts into the next epoch exceeds the ceiling."""
+    """Without the carry-over, a burst that lasts into the next epoch exceeds the quota and the ceiling."""
     harnesses = [GatewayHarness(replace(COUNTER_SETTINGS, instance_index=n)) for n in range(gateways)]
     totals: dict[int, float] = {}
     count_names: set[int] = set()
--- a/tests/decisions/test_customer.py
+++ b/tests/decisions/test_customer.py
@@ -32,7 +32,7 @@
 
 
 def test_evicted_customer_has_no_use_left_to_report() -> None:
-    """Customers that send a single request use too little to report, and must not be kept until they do."""
+    """Customers that send a single request use too little to report; this must not prevent their eviction."""
     harness = GatewayHarness(COUNTER_SETTINGS)
     for number in range(50):
         [sent] = find_sent_attempts(harness.deliver_request(0.01, customer=f"once-{number}", units=0.5))
