--- a/ingress/downstream/command_buffer.py
+++ b/ingress/downstream/command_buffer.py
@@ -11,14 +11,14 @@
 
 MAX_ARGUMENT_BYTES = 64 * 1024
 MAX_COMMAND_BYTES = 256 * 1024
-MAX_ARGUMENTS = 8  # per command; the known commands have at most 5
+MAX_ARGUMENTS = 8  # per command, including its verb; requests have at most 5
 
 
 class CommandBuffer:
     """The received bytes of one connection that have not been processed yet.
 
-    `take_command` returns one command after the other, but leaves its bytes in the buffer.
-    `drop_taken_bytes` then removes the bytes of all returned commands in one operation.
+    Each call of `take_command` returns the next command, but leaves the bytes of that command in the buffer.
+    `drop_taken_bytes` later removes the bytes of all returned commands in one operation.
     """
 
     __slots__ = ("_budget", "_data", "_reader", "_taken_bytes")
--- a/ingress/downstream/command_executor.py
+++ b/ingress/downstream/command_executor.py
@@ -5,56 +5,57 @@
 import logging
 from typing import Protocol
 
-from ingress.downstream.commands import CommandError, CommandParser, answer_connection_command
+from ingress.downstream.commands import CommandError, CommandParser, create_connection_reply
 from ingress.downstream.request_handler import PendingReply, RequestHandler
 
 log = logging.getLogger(__name__)
 
-MAX_MALFORMED_COMMANDS = 8  # consecutive malformed commands after which the connection is closed
+MAX_MALFORMED_COMMANDS = 8  # malformed commands without a valid request in between that close a connection
 REQUEST_VERBS = (b"API.READ", b"API.WRITE")
 INTERNAL_ERROR_REPLY = b"-ERR internal error\r\n"
 
 
 class ExecutorOwner(Protocol):
-    """The part of a listener that the command executors of its connections share."""
+    """The interface through which a command executor uses the listener of its connection."""
 
     command_parser: CommandParser
     handler: RequestHandler
 
     def log_malformed_command(self, reason: str) -> None:
-        """Log a malformed command, at a limited rate."""
+        """Log a malformed command, or only count it if many have been logged."""
 
 
 class CommandExecutor:
-    """Executes commands and counts consecutive malformed ones."""
+    """Executes commands and counts malformed ones; a valid request resets the count."""
 
-    __slots__ = ("_malformed_in_a_row", "_owner")
+    __slots__ = ("_malformed_count", "_owner")
 
     def __init__(self, owner: ExecutorOwner) -> None:
         """Create an executor that has seen no malformed command."""
         self._owner = owner
-        self._malformed_in_a_row = 0
+        self._malformed_count = 0
 
     def is_malformed_limit_reached(self) -> bool:
         """Return whether the connection must be closed, so that its client stops using up processing time."""
-        return self._malformed_in_a_row >= MAX_MALFORMED_COMMANDS
+        return self._malformed_count >= MAX_MALFORMED_COMMANDS
 
     def execute(self, reply: PendingReply, arguments: list[bytes], received_at: float) -> bytes | None:
         """Execute a command, and answer `reply` now or later; return an error reply if the command fails.
 
-        The caller sends a returned error reply itself.  `received_at` is the time on the listener's clock at
-        which the command arrived.
+        A returned error reply has not been sent: the caller first decides whether to close the connection,
+        and then answers `reply` with it.  `received_at` is the time on the listener's clock at which the
+        command arrived.
         """
         try:
             verb = arguments[0].upper() if arguments else b""
             if verb in REQUEST_VERBS:
                 command = self._owner.command_parser.parse(verb, arguments)
-                self._malformed_in_a_row = 0
+                self._malformed_count = 0
                 self._owner.handler.handle_request(reply, command, received_at)
             else:
-                reply.answer(answer_connection_command(verb, arguments))
+                reply.answer(create_connection_reply(verb, arguments))
         except CommandError as error:
-            self._malformed_in_a_row += 1
+            self._malformed_count += 1
             self._owner.log_malformed_command(str(error))
             return b"-ERR %b\r\n" % str(error).encode()
         except Exception:
--- a/ingress/downstream/commands.py
+++ b/ingress/downstream/commands.py
@@ -59,7 +59,7 @@
     return b"$%d\r\n%b\r\n" % (len(value), value)
 
 
-def answer_connection_command(verb: bytes, arguments: list[bytes]) -> bytes:
+def create_connection_reply(verb: bytes, arguments: list[bytes]) -> bytes:
     """Return the reply to a command that concerns only the connection, such as PING.
 
     Raise CommandError for any other command and for an empty one.
@@ -102,8 +102,8 @@
         units = self._parse_units(fields)
         if fields.get("r", "0") not in ("0", "1"):
             raise CommandError("bad number: r")
-        # A client that sends a request late counts its wait from the planned time, so the wait may exceed the
-        # deadline of the class.
+        # The wait of a client may exceed the deadline of the class: a client that sends a request late counts
+        # its wait from the time at which it planned to send.
         max_wait_ms = ceil(2 * request_class.deadline * 1000)
         return Command(
             arguments=arguments,
@@ -120,6 +120,7 @@
         )
 
     def _find_request_class(self, fields: dict[str, str], is_write: bool) -> RequestClass:
+        """Return the request class that the fields name; also check the plan and the idempotency key."""
         request_class = self.classes.get(fields["c"])
         if request_class is None:
             raise CommandError("unknown class")
--- a/ingress/downstream/connection.py
+++ b/ingress/downstream/connection.py
@@ -139,8 +139,8 @@
     # Commands
 
     def _process_buffer(self) -> None:
-        """Execute the complete commands in the buffer until back-pressure stops it."""
-        is_partial = False
+        """Execute the complete commands in the buffer, as many as back-pressure allows."""
+        has_partial_command = False
         while self._can_take_command():
             try:
                 arguments = self.buffer.take_command()
@@ -148,7 +148,7 @@
                 self._close_with_error(str(error))
                 break
             if arguments is None:
-                is_partial = True
+                has_partial_command = True
                 break
             self.partial_command_since = None
             self._handle_command(arguments)
@@ -156,13 +156,14 @@
             self.buffer.clear()
         else:
             self.buffer.drop_taken_bytes()
-        if not is_partial:
+        if not has_partial_command:
             self.partial_command_since = None
         elif self.partial_command_since is None:
             self.partial_command_since = self.last_received_at
         self._update_reading()
 
     def _can_take_command(self) -> bool:
+        """Return whether a command may be taken now; update `is_pipeline_full`."""
         if self.transport is None or self.is_closing or self.write_blocked_since is not None:
             return False
         self.is_pipeline_full = len(self.pending_replies) >= MAX_PIPELINED
@@ -193,7 +194,7 @@
         self._add_pending_reply().answer(b"-ERR %b\r\n" % text)
 
     def _discard_input(self, size: int) -> None:
-        """Discard input of a closing connection, since closing with unread input would be a reset."""
+        """Discard input of a closing connection, since a close with unread input resets the connection."""
         self.discarded_bytes += size
         if self.discarded_bytes > MAX_DISCARDED_BYTES and self.transport is not None:
             self.transport.pause_reading()
@@ -216,7 +217,7 @@
         self.owner.mark_busy(self)
         for reply in pending_replies:
             if reply.data is None:
-                reply.data = b""
+                reply.data = b""  # makes `PendingReply.answer` ignore a later answer
                 self.owner.handler.on_client_disconnected(reply)
 
     # Back-pressure
@@ -228,7 +229,7 @@
     def _update_reading(self) -> None:
         """Pause reading under back-pressure once the input of all connections uses half of its budget.
 
-        Below that, reading continues, since it is the fastest way to detect a disconnect.
+        Below half of the budget, reading continues, because a disconnect is detected fastest by reading.
         """
         if self.transport is None or self.transport.is_closing() or self.is_closing:
             return
--- a/ingress/downstream/connection_owner.py
+++ b/ingress/downstream/connection_owner.py
@@ -39,4 +39,4 @@
         """Forget a connection whose file descriptor has been released."""
 
     def log_malformed_command(self, reason: str) -> None:
-        """Log a malformed command, at a limited rate."""
+        """Log a malformed command, or only count it if many have been logged."""
--- a/ingress/downstream/idle_connections.py
+++ b/ingress/downstream/idle_connections.py
@@ -39,15 +39,15 @@
         return next(self._iter_eviction_candidates(now), None)
 
     def _iter_eviction_candidates(self, now: float) -> Iterator[ClientConnection]:
-        """Yield the evictable connections in order.
+        """Yield the connections that may be evicted, in the order of their eviction.
 
-        A connection must stay while its first command may still be in transit, while it has unprocessed
-        input, and while a reply is unsent.
+        A closing connection may always be evicted.  Any other connection must stay while its first command
+        may still be in transit, while it has unprocessed input, and while a reply is unsent.
         """
         yield from self.closing
         for queue, min_age in ((self.new, MIN_NEW_CONNECTION_AGE_S), (self.answered, 0.0)):
             for connection in queue:
                 if now - connection.idle_since < min_age:
-                    break
+                    break  # the later connections of the queue have been idle for an even shorter time
                 if connection.has_empty_buffers():
                     yield connection
--- a/ingress/downstream/listener.py
+++ b/ingress/downstream/listener.py
@@ -26,7 +26,7 @@
 MAX_ACCEPTS_PER_CALLBACK = 16  # connections accepted in one batch
 SWEEP_INTERVAL_S = 0.25  # between checks of the timeouts of all connections
 MAX_LOGGED_FAULTS = 50  # malformed commands or failed accepts that are logged one by one
-LOG_SAMPLE_INTERVAL = 1000  # of later faults every 1000th is logged, since clients may cause many
+LOG_SAMPLE_INTERVAL = 1000  # only every 1000th of the later faults is logged, since clients may cause many
 
 
 class ClientListener:
@@ -93,7 +93,7 @@
             connection.close_if_idle()
 
     def evict_connection(self) -> None:
-        """Make room by aborting the connection whose client loses least by it, if any may be evicted."""
+        """Make room for a new connection: abort the one whose client loses least, if any may be evicted."""
         connection = self.idle_connections.find_eviction_candidate(self.clock())
         if connection is not None:
             self.idle_connections.discard(connection)
@@ -127,7 +127,7 @@
         self.drain_progress.set()
 
     def log_malformed_command(self, reason: str) -> None:
-        """Log a malformed command, at a limited rate."""
+        """Log a malformed command, or only count it if many have been logged."""
         self.malformed_command_log.warning("malformed command reason=%r", reason)
 
     # Accepting
@@ -136,7 +136,7 @@
         """Accept a batch of connections; return whether more may be in the backlog."""
         for _ in range(MAX_ACCEPTS_PER_CALLBACK):
             if len(self.connections) >= self.max_connections:
-                # New connections wait until one has closed, so that file descriptors do not run out.
+                # New connections wait until an open one has closed, so that file descriptors do not run out.
                 if not self.evicted:
                     self.evict_connection()
                 self._pause_accepting()
@@ -162,9 +162,9 @@
         task = self.loop.create_task(self._attach_transport(connection, sock))
         self.accept_tasks.add(task)
         task.add_done_callback(self.accept_tasks.discard)
-        # Keep slots free for one batch of new connections, but for at most an eighth of all connections.
-        remaining_count = len(self.connections) - len(self.evicted)
-        if remaining_count > self.max_connections - max(
+        # Keep room for one batch of new connections, but for at most an eighth of `max_connections`.
+        unevicted_count = len(self.connections) - len(self.evicted)
+        if unevicted_count > self.max_connections - max(
             1, min(MAX_ACCEPTS_PER_CALLBACK, self.max_connections // 8)
         ):
             self.evict_connection()
--- a/ingress/downstream/request_handler.py
+++ b/ingress/downstream/request_handler.py
@@ -25,7 +25,7 @@
         self.data: bytes | None = None  # the reply in RESP; None until it is known
 
     def answer(self, data: bytes) -> None:
-        """Set the reply and send it when its turn comes; ignore any later reply."""
+        """Set the reply, and send it after all earlier replies of its connection; ignore any later call."""
         if self.data is None:
             self.data = data
             self.writer.flush()
@@ -38,4 +38,4 @@
         """Handle a request received at `received_at`; raise CommandError if it is invalid."""
 
     def on_client_disconnected(self, reply: PendingReply) -> None:
-        """Cancel an unanswered request whose client has closed its connection."""
+        """Cancel the request of an unanswered reply, since its client has disconnected."""
--- a/ingress/process/action_executor.py
+++ b/ingress/process/action_executor.py
@@ -34,7 +34,7 @@
         self.counter = counter
         self.loop = asyncio.get_running_loop()
         self.feed = feed
-        self.logged_unsupported_names: set[str] = set()  # class names of actions
+        self.logged_unsupported_names: set[str] = set()  # class names of unsupported actions
         self.handlers: dict[type, Callable[[Any], None]] = {
             api.SendAttempt: attempt_dispatcher.send,
             api.CancelAttempt: self._cancel_attempt,
@@ -82,7 +82,7 @@
         log.info("%s", action.text)
 
     def _ignore(self, action: api.Action) -> None:
-        """Do nothing, since the watch on the endpoint list always runs."""
+        """Do nothing: the action concerns the watch on the endpoint list, which always runs."""
 
     def _log_unsupported(self, action: api.Action) -> None:
         action_name = type(action).__name__
--- a/ingress/process/attempt_dispatcher.py
+++ b/ingress/process/attempt_dispatcher.py
@@ -77,7 +77,7 @@
     def on_attempt_ended(
         self, attempt: Attempt, outcome: api.Outcome, value: bytes | None, load_report: dict[str, float]
     ) -> None:
-        """Answer the request with the value, if any, and report the outcome to the decision module."""
+        """Answer the request if the backend sent a value, and report the outcome to the decision module."""
         request = self.requests.get(attempt.request_key)
         self.in_flight.pop((attempt.request_key, attempt.number), None)
         if request is not None:
--- a/ingress/process/configuration.py
+++ b/ingress/process/configuration.py
@@ -53,7 +53,10 @@
     max_in_flight: int
     """Maximum number of requests in flight."""
     max_buffered_bytes: int
-    """Maximum bytes for each of requests in flight, unprocessed client input and partial backend replies."""
+    """Maximum number of buffered bytes for each of three uses.
+
+    The uses are requests in flight, unprocessed client input, and partial backend replies.
+    """
 
 
 @dataclass(frozen=True, slots=True)
@@ -131,11 +134,12 @@
     sockets = int(_get_positive(limits, "sockets", 1024))
     if sockets < MIN_SOCKETS:
         raise ConfigurationError(f"limits.sockets: {sockets} is below the minimum of {MIN_SOCKETS}")
-    # Half of the memory beyond the program's own is divided equally among the three users of
+    # Half of the memory that exceeds PROGRAM_MEMORY_MB is divided equally among the three uses of
     # `max_buffered_bytes`.
     buffer_mb = (_get_positive(limits, "memory_mb", 1024) - PROGRAM_MEMORY_MB) / 6
-    # All parts together stay below the file descriptor limit.  Clients get two thirds of the rest: with many
-    # clients, each request arrives on its own connection, while only few attempts are in flight at once.
+    # All parts together stay below the file descriptor limit.  Clients get two thirds of the descriptors that
+    # are not reserved, and backends one third: with many clients, each request arrives on its own connection,
+    # while only few attempts are in flight at the same time.
     backend_sockets = (sockets - min(RESERVED_DESCRIPTORS, sockets // 2)) // 3
     return _ProcessLimits(
         client_sockets=2 * backend_sockets,
--- a/ingress/process/deadlines.py
+++ b/ingress/process/deadlines.py
@@ -3,12 +3,12 @@
 from __future__ import annotations
 
 DECISION_MARGIN_S = 0.020  # from the decision module's deadline to the client's deadline
-MIN_WAIT_TO_MARGIN_RATIO = 10  # limits the margin to a tenth of the waiting time, for short deadlines
+MIN_WAIT_TO_MARGIN_RATIO = 10  # limits the margin to a tenth of the waiting time, for short waiting times
 
 
 def decision_time(client_wait_s: float) -> float:
     """Return the seconds that the decision module has for a request whose client waits `client_wait_s`.
 
-    The result depends only on the time that the client named, not on when the request is processed.
+    The result depends only on the client's waiting time, not on when the request is processed.
     """
     return client_wait_s - min(DECISION_MARGIN_S, client_wait_s / MIN_WAIT_TO_MARGIN_RATIO)
--- a/ingress/process/in_flight.py
+++ b/ingress/process/in_flight.py
@@ -41,7 +41,7 @@
     def __init__(self, max_requests: int, max_bytes: int) -> None:
         self.max_requests = max_requests
         self.max_bytes = max_bytes
-        self.buffered_bytes = 0
+        self.buffered_bytes = 0  # estimated memory of the requests in flight
         self.unanswered_client_request_ids: set[bytes] = set()  # ids that the clients chose
         self._requests: dict[str, InFlightRequest] = {}
         self._added_count = 0
--- a/ingress/process/ingress.py
+++ b/ingress/process/ingress.py
@@ -30,7 +30,7 @@
 
 log = logging.getLogger(__name__)
 
-# A process that is being throttled gets no CPU time before the throttling ends, however short its sleep is.
+# Even a short pause outlasts throttling, since a throttled process does not run before the throttling ends.
 STARTUP_PAUSE_S = 0.01  # before the program listens
 EMPTY_ENDPOINT_LIST = EndpointList(0, True, (), AddressBook())
 
@@ -48,7 +48,7 @@
         self.rng = random.Random(config.seed)  # for the backoff of discovery
         self.feed = EventQueue(self._handle_event).feed  # hands an event to the decision module
         self.is_closed = False
-        # List version from which the watch continues; None if it must fetch the full list first.
+        # List version from which the watch continues; None if it must fetch the complete list first.
         self.restored_version = config.known.version if config.known.backends else None
         self.watch: asyncio.Task[None] | None = None
         self.requests = InFlightRequests(config.max_in_flight, config.max_buffered_bytes)
@@ -82,8 +82,8 @@
             self._close()
             return
         self.listener.open()
-        # The watch asks only for changes since the restored list, since sending full lists to many ingresses
-        # that start together would overload discovery.
+        # The watch asks only for changes since the restored list, since sending complete lists to many
+        # ingresses that start together would overload discovery.
         self._start_watch(self.restored_version)
         log.info("listening address=%s name=%s", _address_text(self.config.listen), self.config.name)
         await stop.wait()
@@ -98,7 +98,7 @@
         old = self.config
         self.config = apply_reload(old, config)
         if config.discovery != old.discovery:
-            # Another agent may number versions differently, so changes since the held version would be wrong.
+            # Another agent may number versions differently, so changes since the known version may be wrong.
             self.restored_version = None
             if self.watch is not None:
                 self._start_watch()
@@ -132,7 +132,7 @@
         self.on_endpoints_updated(api.EndpointUpdateKind.RESTORED, known)
 
     def _start_watch(self, version: int | None = None) -> None:
-        """Replace the watch on discovery; without a version the new watch first fetches the full list."""
+        """Replace the watch on discovery; without a version, the new one first fetches the complete list."""
         if self.watch is not None:
             self.watch.cancel()
         watch = EndpointWatch(
@@ -162,16 +162,18 @@
         # This method exists because the request service, which calls it, is created before the pool.
         self.pool.cancel_attempt_if_unsent(attempt)
 
-    # Events of the decision module
+    # Events for the decision module
 
     def _handle_event(self, event: api.Event) -> None:
+        """Pass an event to the decision module, execute its actions, and remove a finished request."""
         has_failed = False
         actions: Sequence[api.Action]
         try:
             actions = self.gateway.handle(self.clock(), event)
         except Exception:
             # An exception in the decision module must end neither the process nor the other requests.  The
-            # actions from before the exception, such as the next timer, are executed; this request fails.
+            # actions from before the exception, such as the next timer, are executed.  The request that the
+            # event belongs to, if any, fails.
             log.exception("decision module failed event=%s", type(event).__name__)
             actions = self.gateway.actions
             has_failed = True
--- a/ingress/process/reload.py
+++ b/ingress/process/reload.py
@@ -7,7 +7,7 @@
 from ingress.process.configuration import Config
 
 RELOADED_FIELDS = frozenset({"discovery", "counter"})
-START_ONLY_FIELDS = frozenset({"seed", "known"})  # used only at the start, so a later change has no effect
+START_ONLY_FIELDS = frozenset({"seed", "known"})  # unused after the start: a change needs no restart
 
 
 def apply_reload(current: Config, new: Config) -> Config:
--- a/ingress/process/request_service.py
+++ b/ingress/process/request_service.py
@@ -35,7 +35,7 @@
         """Create a service without requests.
 
         `feed` hands an event to the decision module; `cancel_if_unsent` ends an attempt of an answered
-        request unless the attempt has been written.
+        request unless the attempt has been fully written.
         """
         self.requests = requests
         self.clock = clock
@@ -45,7 +45,7 @@
         self.is_refusing_requests = False  # True at the end of the shutdown: no backend could answer in time
 
     def handle_request(self, reply: PendingReply, command: Command, received_at: float) -> None:
-        """Pass a request on to the decision module, or answer BUSY if requests are refused or too many.
+        """Pass a request on to the decision module; answer BUSY if it is refused or too many are in flight.
 
         `received_at` is the time on the clock at which the command arrived.  Raise CommandError if the id
         belongs to a request that has not been answered.
@@ -112,6 +112,7 @@
             self.requests.remove(key)
 
     def _mark_answered(self, request: InFlightRequest) -> None:
+        """Mark a request as answered, free its client's id, and cancel its timer and unsent attempt."""
         request.is_answered = True
         self.requests.unanswered_client_request_ids.discard(request.command.client_request_id)
         if request.deadline_timer is not None:
--- a/ingress/process/shutdown.py
+++ b/ingress/process/shutdown.py
@@ -13,7 +13,7 @@
 
 ACCEPT_AFTER_SIGTERM_S = 0.5  # how long connections are still accepted
 SIGKILL_DELAY_S = 0.7  # from SIGTERM to the earliest SIGKILL, in addition to the longest request deadline
-MAX_COUNTED_DEADLINE_S = 3.0  # the longest deadline counts as at most this in that sum
+MAX_COUNTED_DEADLINE_S = 3.0  # upper limit of the longest request deadline in that sum
 LAST_ANSWERS_MARGIN_S = 0.25  # time before the earliest SIGKILL at which requests in flight are failed
 FLUSH_TIMEOUT_S = 0.1  # for sending the last replies
 
--- a/tests/downstream/test_back_pressure.py
+++ b/tests/downstream/test_back_pressure.py
@@ -67,9 +67,9 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("commands", [50, COMMANDS_ABOVE_COMMAND_SIZE_LIMIT])
+@pytest.mark.parametrize("command_count", [50, COMMANDS_ABOVE_COMMAND_SIZE_LIMIT])
 def test_disconnect_with_a_full_pipeline_is_detected_and_buffered_commands_are_dropped(
-    commands: int, monkeypatch: pytest.MonkeyPatch
+    command_count: int, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(connection, "MAX_PIPELINED", 4)
 
@@ -80,15 +80,16 @@
         ):
             gateway = install_scripted_gateway(ingress, send_to_s1)
             caller = await RespClient.connect(address)
-            data = pipelined_commands(commands)
+            data = pipelined_commands(command_count)
             assert (
-                commands < COMMANDS_ABOVE_COMMAND_SIZE_LIMIT or len(data) > command_buffer.MAX_COMMAND_BYTES
+                command_count < COMMANDS_ABOVE_COMMAND_SIZE_LIMIT
+                or len(data) > command_buffer.MAX_COMMAND_BYTES
             )
             caller.writer.write(data)
             await caller.writer.drain()
             await wait_until(lambda: len(ingress.requests) == 4)
             caller.writer.close()
-            # Well before the four requests reach their deadlines.
+            # The cancellations come well before the deadlines of the four requests.
             await asyncio.wait_for(
                 wait_until(lambda: len(gateway.get_events_of_type(api.RequestCancelled)) == 4), 2.0
             )
@@ -115,9 +116,9 @@
             caller = await RespClient.connect(address)
             caller.writer.write(pipelined_commands(4 + 20))
             await wait_until(lambda: ingress.listener.input_budget.used_bytes > 1500)
-            [client] = ingress.listener.connections
-            await wait_until(lambda: client.disconnect_check_timer is not None)
-            # This command stays unread in the socket, in front of the end of the connection.
+            [client_connection] = ingress.listener.connections
+            await wait_until(lambda: client_connection.disconnect_check_timer is not None)
+            # This command stays unread in the socket, before the end of the connection.
             caller.writer.write(make_command("behind", wait_ms=4000))
             if with_reset:
                 reset_connection(caller.writer)
@@ -142,8 +143,8 @@
             caller = await RespClient.connect(address)
             caller.writer.write(make_command("first", wait_ms=4000))
             await wait_until(lambda: ingress.requests)
-            [client] = ingress.listener.connections
-            client.pause_writing()  # as the transport does if the client does not read
+            [client_connection] = ingress.listener.connections
+            client_connection.pause_writing()  # as the transport does if the client does not read
             caller.writer.write(pipelined_commands(COMMANDS_ABOVE_COMMAND_SIZE_LIMIT))
             await caller.writer.drain()
             caller.writer.close()
--- a/tests/downstream/test_command_executor.py
+++ b/tests/downstream/test_command_executor.py
@@ -1,4 +1,4 @@
-"""Execution of commands, and counting of consecutive malformed ones."""
+"""Execution of commands, and counting of malformed ones."""
 
 from __future__ import annotations
 
@@ -28,7 +28,7 @@
         self.handler: RequestHandler = self
         self.error = error
         self.requests: list[tuple[bytes, float]] = []
-        self.malformed: list[str] = []
+        self.malformed_reasons: list[str] = []
 
     def handle_request(self, reply: PendingReply, command: Command, received_at: float) -> None:
         """Record the request, or raise the error."""
@@ -41,11 +41,11 @@
 
     def log_malformed_command(self, reason: str) -> None:
         """Record the reason."""
-        self.malformed.append(reason)
+        self.malformed_reasons.append(reason)
 
 
 def execute(executor: CommandExecutor, *arguments: bytes) -> tuple[bytes | None, bytes | None]:
-    """Execute a command; return the error reply that it returned, and the reply that it gave at once."""
+    """Execute a command; return the result of `execute`, and the reply that it has set, if any."""
     reply = PendingReply(FakeWriter())
     return executor.execute(reply, list(arguments), RECEIVED_AT), reply.data
 
@@ -83,13 +83,13 @@
     execute(executor, b"PING")
     assert execute(executor) == (b"-ERR a command is an array of bulk strings\r\n", None)
     assert executor.is_malformed_limit_reached()
-    assert len(owner.malformed) == 2 * MAX_MALFORMED_COMMANDS - 1
+    assert len(owner.malformed_reasons) == 2 * MAX_MALFORMED_COMMANDS - 1
 
 
 def test_command_rejected_by_the_handler_gets_an_error_reply() -> None:
     owner = FakeOwner(CommandError("refused"))
     assert execute(CommandExecutor(owner), *VALID_COMMAND) == (b"-ERR refused\r\n", None)
-    assert owner.malformed == ["refused"]
+    assert owner.malformed_reasons == ["refused"]
 
 
 def test_exception_in_the_handler_is_logged_and_answered_with_an_error(
--- a/tests/downstream/test_commands.py
+++ b/tests/downstream/test_commands.py
@@ -14,8 +14,8 @@
 
 def command_with_fields(old: bytes, new: bytes) -> bytes:
     """Return a command with `old` replaced by `new` in its field list, and a correct length prefix."""
-    names = b"c=read,t=basic,d=2000,units=1,spread=1,first=0"
-    return encode_resp_array(b"API.READ", b"%016x" % 7, b"id", names.replace(old, new))
+    fields = b"c=read,t=basic,d=2000,units=1,spread=1,first=0"
+    return encode_resp_array(b"API.READ", b"%016x" % 7, b"id", fields.replace(old, new))
 
 
 def test_connection_commands_are_answered() -> None:
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("data", "why"),
+    ("data", "reason"),
     [
         (encode_resp_array(b"GET", b"x"), "unknown command"),
         (encode_resp_array(b"API.READ"), "arguments"),
@@ -68,7 +68,7 @@
     ],
 )
 def test_malformed_command_gets_an_error_and_is_logged_and_the_connection_stays_open(
-    data: bytes, why: str, caplog: pytest.LogCaptureFixture
+    data: bytes, reason: str, caplog: pytest.LogCaptureFixture
 ) -> None:
     async def body() -> None:
         async with running_ingress(make_config()) as (_, address):
@@ -76,12 +76,12 @@
             answer = await caller.send_and_read_reply(data)
             assert isinstance(answer, hiredis.ReplyError)
             assert str(answer).startswith("ERR ")
-            assert why in str(answer)
+            assert reason in str(answer)
             assert await caller.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
 
     with caplog.at_level(logging.WARNING):
         run_async_test(body())
-    assert any(why in record.getMessage() for record in caplog.records)
+    assert any(reason in record.getMessage() for record in caplog.records)
 
 
 def test_valid_command_is_parsed() -> None:
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -134,10 +134,10 @@
             caller = await RespClient.connect(address)
             caller.writer.write(b"*5\r\n$60000000\r\n")
             assert "too large" in str(await caller.read_reply())
-            client = next(iter(ingress.listener.connections))
+            client_connection = next(iter(ingress.listener.connections))
             caller.writer.write(bytes(60_000_000))
             await wait_until(lambda: not ingress.listener.connections)
-            assert client.discarded_bytes < 2 * connection.MAX_DISCARDED_BYTES
+            assert client_connection.discarded_bytes < 2 * connection.MAX_DISCARDED_BYTES
             caller.writer.transport.abort()
 
     run_async_test(body())
@@ -162,7 +162,7 @@
 
 
 def test_single_bytes_do_not_extend_the_timeout_of_a_partial_command(monkeypatch: pytest.MonkeyPatch) -> None:
-    """The timeout of a partial command runs from its first byte, not from its latest byte."""
+    """The timeout of a partial command starts at its first byte; later bytes do not restart it."""
     monkeypatch.setattr(timeouts, "READ_TIMEOUT_S", 0.3)
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
@@ -190,7 +190,7 @@
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         arguments = await read_command(reader)
-        await wait_until(lambda: ended)
+        await wait_until(lambda: idle_closed)
         writer.write(encode_value_reply(arguments[2]))
         await reader.read()
 
@@ -204,10 +204,10 @@
             assert await idle.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
             with pytest.raises((EOFError, ConnectionError)):
                 await idle.read_reply()
-            ended.append(True)
+            idle_closed.append(True)
             assert await busy.read_reply() == b"busy"
 
-    ended: list[bool] = []
+    idle_closed: list[bool] = []
     run_async_test(body())
 
 
@@ -220,11 +220,11 @@
             sock = socket.create_connection(address)
             sock.setblocking(False)
             await wait_until(lambda: ingress.listener.connections)
-            loop, text = asyncio.get_running_loop(), encode_resp_array(b"PING", b"x" * 60_000)
+            loop, command = asyncio.get_running_loop(), encode_resp_array(b"PING", b"x" * 60_000)
 
             async def send() -> None:
                 while True:
-                    await loop.sock_sendall(sock, text)
+                    await loop.sock_sendall(sock, command)
 
             with pytest.raises(ConnectionError):
                 await send()
--- a/tests/downstream/test_drain.py
+++ b/tests/downstream/test_drain.py
@@ -56,7 +56,7 @@
             caller = await RespClient.connect(address)
             caller.writer.write(make_command("first"))
             assert await caller.read_reply() == b"first"
-            # Set directly, since `drain` would close the connection, which is idle now, at once.
+            # Set directly, since `drain` would close the connection, which is idle now, without a wait.
             ingress.listener.is_draining = True
             caller.writer.write(
                 encode_resp_array(b"PING") + make_command("second") + encode_resp_array(b"PING")
@@ -87,7 +87,7 @@
 
 
 def test_request_received_while_a_reply_is_being_sent_is_served_while_draining() -> None:
-    """Closing at this point would lose the unread request, and its reset would cut off the reply."""
+    """A close at this point would reset the connection and lose the request and the rest of the reply."""
     size = 8 << 20
 
     async def body() -> None:
@@ -100,12 +100,12 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.connect(address)
             sock.sendall(encode_resp_array(b"PING"))
-            [client] = await wait_for_client_connections(ingress, 1)
-            await wait_until(lambda: client in ingress.listener.idle_connections.answered)
-            assert client.transport
-            # A long reply is being sent, but less than the limit is buffered, so there is no back-pressure.
-            client.transport.set_write_buffer_limits(2 * size)
-            client.transport.write(b"+" + b"v" * size + b"\r\n")
+            [client_connection] = await wait_for_client_connections(ingress, 1)
+            await wait_until(lambda: client_connection in ingress.listener.idle_connections.answered)
+            assert client_connection.transport
+            # The raised limit lets a long reply be buffered without back-pressure while it is being sent.
+            client_connection.transport.set_write_buffer_limits(2 * size)
+            client_connection.transport.write(b"+" + b"v" * size + b"\r\n")
             ingress.listener.drain()
             sock.sendall(make_command("late"))
             sock.setblocking(False)
@@ -120,7 +120,7 @@
 
 
 def test_connections_in_the_backlog_are_served_while_draining() -> None:
-    """The connection limit is reached when the drain begins, and more connections wait with a request."""
+    """The drain begins at the connection limit, while connections with a request wait in the backlog."""
 
     async def body() -> None:
         async with (
@@ -129,8 +129,8 @@
         ):
             install_scripted_gateway(ingress, send_to_s1)
             ingress.listener.max_connections = 3
-            first = [await RespClient.connect(address) for _ in range(3)]
-            for caller in first:
+            callers = [await RespClient.connect(address) for _ in range(3)]
+            for caller in callers:
                 assert await caller.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
             waiting = [socket.create_connection(address) for _ in range(6)]
             for number, sock in enumerate(waiting):
--- a/tests/downstream/test_listener.py
+++ b/tests/downstream/test_listener.py
@@ -44,7 +44,7 @@
 
 
 def test_connection_just_accepted_is_not_evicted() -> None:
-    """With many clients of one connection each, new connections wait in the backlog and none is closed."""
+    """Further connections wait in the backlog; none is closed before its first command is answered."""
 
     async def body() -> None:
         async with running_ingress(make_config()) as (ingress, address):
@@ -81,8 +81,8 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("how", ["drain", "idle", "room"])
-def test_unread_request_keeps_its_connection_open(how: str) -> None:
+@pytest.mark.parametrize("trigger", ["drain", "idle", "room"])
+def test_unread_request_keeps_its_connection_open(trigger: str) -> None:
     """Closing a connection with an unread request in the socket would reset it and lose the request."""
 
     async def body() -> None:
@@ -92,14 +92,14 @@
         ):
             sock = socket.create_connection(address)
             sock.sendall(encode_resp_array(b"PING"))
-            [client] = await wait_for_client_connections(ingress, 1)
-            await wait_until(lambda: client in ingress.listener.idle_connections.answered)
+            [client_connection] = await wait_for_client_connections(ingress, 1)
+            await wait_until(lambda: client_connection in ingress.listener.idle_connections.answered)
             # The command stays unread in the socket, since the event loop does not run before the close.
             sock.sendall(make_command("late"))
-            if how == "drain":
+            if trigger == "drain":
                 ingress.listener.drain()
-            elif how == "idle":
-                client.enforce_timeouts(ingress.clock() + timeouts.IDLE_TIMEOUT_S + 1)
+            elif trigger == "idle":
+                client_connection.enforce_timeouts(ingress.clock() + timeouts.IDLE_TIMEOUT_S + 1)
             else:
                 ingress.listener.evict_connection()
             sock.setblocking(False)
@@ -112,8 +112,8 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("how", ["drain", "room"])
-def test_partial_request_keeps_its_connection_open(how: str) -> None:
+@pytest.mark.parametrize("trigger", ["drain", "room"])
+def test_partial_request_keeps_its_connection_open(trigger: str) -> None:
     async def body() -> None:
         async with (
             scripted_backend() as peer,
@@ -121,16 +121,16 @@
         ):
             caller = await RespClient.connect(address)
             assert await caller.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
-            text = make_command("whole")
-            caller.writer.write(text[:50])
-            [client] = await wait_for_client_connections(ingress, 1)
-            await wait_until(lambda: client.buffer)
-            if how == "drain":
+            command = make_command("whole")
+            caller.writer.write(command[:50])
+            [client_connection] = await wait_for_client_connections(ingress, 1)
+            await wait_until(lambda: client_connection.buffer)
+            if trigger == "drain":
                 ingress.listener.drain()
             else:
                 ingress.listener.evict_connection()
-            assert await caller.send_and_read_reply(text[50:]) == b"whole"
-            assert how == "room" or await caller.closes_without_reset()
+            assert await caller.send_and_read_reply(command[50:]) == b"whole"
+            assert trigger == "room" or await caller.closes_without_reset()
 
     run_async_test(body())
 
@@ -149,9 +149,11 @@
             sock.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, 4096)
             sock.connect(address)
             sock.sendall(b"".join(make_command(str(n)) for n in range(size // 1_000_000)))
-            [client] = await wait_for_client_connections(ingress, 1)
+            [client_connection] = await wait_for_client_connections(ingress, 1)
             await wait_until(
-                lambda: client.write_blocked_since and not ingress.requests and not client.pending_replies
+                lambda: client_connection.write_blocked_since
+                and not ingress.requests
+                and not client_connection.pending_replies
             )
             ingress.listener.evict_connection()
             sock.setblocking(False)
--- a/tests/process/test_attempt_dispatcher.py
+++ b/tests/process/test_attempt_dispatcher.py
@@ -19,10 +19,12 @@
 def test_earlier_attempt_is_cancelled_before_another_is_sent() -> None:
     async def body() -> None:
         async with (
-            scripted_backend(b"") as one,
-            scripted_backend() as two,
+            scripted_backend(b"") as first_peer,
+            scripted_backend() as second_peer,
             running_ingress(
-                make_config(make_endpoint_entry(one.address), make_endpoint_entry(two.address, "s2"))
+                make_config(
+                    make_endpoint_entry(first_peer.address), make_endpoint_entry(second_peer.address, "s2")
+                )
             ) as (ingress, address),
         ):
 
@@ -38,7 +40,7 @@
                 api.Outcome.CANCELLED,
                 api.Outcome.OK,
             ]
-            await wait_until(lambda: one.ended_connection_count)
+            await wait_until(lambda: first_peer.ended_connection_count)
 
     run_async_test(body())
 
@@ -64,7 +66,7 @@
 
 
 def test_attempt_waiting_for_a_connection_is_not_sent_after_the_client_disconnects() -> None:
-    """If the client disconnects during the connect, the attempt is not written once the connection is up."""
+    """The client disconnects while the connection to the backend is still being established."""
 
     async def body() -> None:
         async with (
@@ -72,7 +74,7 @@
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             gateway = install_scripted_gateway(ingress, send_to_s1)
-            ingress.pool.loop = delayed = DelayedConnectLoop()  # type: ignore[assignment]
+            ingress.pool.loop = delayed_loop = DelayedConnectLoop()  # type: ignore[assignment]
             caller = await RespClient.connect(address)
             caller.writer.write(make_command("00000000000000aa"))
             await wait_until(lambda: ingress.pool.connection_count)
@@ -84,7 +86,7 @@
             assert not ingress.requests
             assert not ingress.attempt_dispatcher.in_flight
             assert peer.connection_count == 0
-            delayed.connect_allowed.set()
+            delayed_loop.connect_allowed.set()
             [endpoint] = ingress.pool.endpoint_table.contacted_endpoints.values()
             await wait_until(lambda: endpoint.idle_connections)
             other = await RespClient.connect(address)
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -45,7 +45,7 @@
 
 
 def agent_with_list(endpoint_list: bytes, port: int) -> ScriptedServer:
-    """Return a discovery agent that answers with the endpoint list first, and then with no change."""
+    """Return a discovery agent whose first answer is the endpoint list and whose later ones are empty."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
@@ -64,7 +64,10 @@
 
 
 async def request_until_served(address: Address, counter_peer: ScriptedServer) -> None:
-    """Send requests until one is served, which needs the endpoint list, and the counter has been called."""
+    """Send requests until a backend has answered one and the counter has been called.
+
+    A backend can answer only once the ingress has fetched the endpoint list.
+    """
     customer = 0
     answers = set[bytes | str]()
     while b"00000000000000aa" not in answers or not counter_peer.received_commands:
@@ -76,7 +79,7 @@
 
 
 async def ping_on_new_connection(address: Address) -> None:
-    """Open a connection and wait for the answer to a PING."""
+    """Open a connection and wait for the reply to a PING."""
     assert (
         await (await RespClient.connect(address)).send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
     )
--- a/tests/process/test_ingress.py
+++ b/tests/process/test_ingress.py
@@ -1,4 +1,4 @@
-"""The whole ingress on sockets: startup, forwarding, and exceptions in the decision module."""
+"""The complete ingress on sockets: startup, forwarding, and exceptions in the decision module."""
 
 from __future__ import annotations
 
@@ -27,7 +27,7 @@
 
 
 def test_ingress_pauses_at_startup_before_it_listens(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process that listened at once left requests unread for 1.2 s while its startup was throttled."""
+    """Without the pause, requests stayed unread for 1.2 s while the process was throttled at startup."""
 
     async def body() -> None:
         monkeypatch.setattr(ingress_module, "STARTUP_PAUSE_S", 3600.0)
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -63,8 +63,8 @@
                 caller = await RespClient.connect(address)
                 await wait_until(lambda: len(first.requested_targets) == 2)
                 assert await caller.send_and_read_reply(make_command()) == b"one"
-                for bad, key in (("{", "EDGE_CONFIG"), (make_config_text(seed="xyz"), "seed")):
-                    path.write_text(bad, encoding="utf-8")
+                for invalid_text, key in (("{", "EDGE_CONFIG"), (make_config_text(seed="xyz"), "seed")):
+                    path.write_text(invalid_text, encoding="utf-8")
                     process.send_signal(signal.SIGHUP)
                     await read_log_line(process, "configuration rejected", key)
                 path.unlink()
@@ -127,7 +127,7 @@
                 assert agents[2].server.connection_count == 1
                 ingress.counter.increment(7, 1.0, 60.0)
                 await wait_until(lambda: new.received_commands)
-                # One watch, and the tasks of the scripted peers for their open connections.
+                # Only one watch runs, and the scripted peers have no tasks left for closed connections.
                 assert len(asyncio.all_tasks()) <= task_count_before
                 stop.set()
                 await task
@@ -214,12 +214,12 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def body() -> None:
-        started = make_config(make_endpoint_entry(("127.0.0.1", 1)))
-        async with running_ingress(started) as (ingress, _):
+        config = make_config(make_endpoint_entry(("127.0.0.1", 1)))
+        async with running_ingress(config) as (ingress, _):
             assert ingress.gateway.balancer.ready_backends.keys() == {"s1"}
             assert not ingress.config.known.backends
             assert not ingress.config.known.addresses
-            ingress.reload(started)
+            ingress.reload(config)
 
     run_async_test(body())
     assert "restart required" not in caplog.text  # a reload does not compare the endpoint list
--- a/tests/process/test_request_service.py
+++ b/tests/process/test_request_service.py
@@ -126,9 +126,8 @@
             await wait_until(lambda: peer.received_commands)
             assert "open request" in str(await two.send_and_read_reply(make_command("same")))
             assert str(await one.read_reply()) == "ERR failed"
-            two.writer.write(
-                make_command("same", wait_ms=300)
-            )  # allowed again, since the first request is answered
+            # The id is allowed again, since the first request is answered.
+            two.writer.write(make_command("same", wait_ms=300))
             assert str(await two.read_reply()) == "ERR failed"
             assert len(peer.received_commands) == 2
             assert not ingress.requests.unanswered_client_request_ids
--- a/tests/process/test_restart.py
+++ b/tests/process/test_restart.py
@@ -37,7 +37,7 @@
 async def running_program(
     peer: ScriptedServer, folder: Path, settings: dict[str, Any] = WIRE_SETTINGS
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Address]]:
-    """Run the program with `peer` as its eight backends; yield once it answers a PING."""
+    """Run the program with `peer` as each of its eight backends; yield once it replies to a PING."""
     entries = (make_endpoint_entry(peer.address, f"s{n}") for n in range(8))
     async with listening_process(folder, *entries, settings=settings) as (process, address):
         caller = await RespClient.connect(address)
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -22,7 +22,7 @@
 def test_request_received_after_the_last_answers_is_rejected_and_not_lost(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A client sends another request behind one in flight until the very end; each gets an answer."""
+    """The request follows another one, on the same connection, that is in flight until the end."""
     monkeypatch.setattr(shutdown, "ACCEPT_AFTER_SIGTERM_S", 0.0)
     # With the longest deadline of 2 s, the last answers are sent 0.1 s after the stop.
     monkeypatch.setattr(shutdown, "SIGKILL_DELAY_S", shutdown.LAST_ANSWERS_MARGIN_S - 1.9)
