--- a/ingress/downstream/connection.py
+++ b/ingress/downstream/connection.py
@@ -132,7 +132,7 @@
             if now - self.partial_command_since > timeouts.READ_TIMEOUT_S:
                 self._close_with_error("the rest of the command did not come")
         elif not self.pending_replies:
-            timeout_s = timeouts.idle_timeout_s(self.owner.is_new(self), self.owner.is_draining)
+            timeout_s = timeouts.compute_idle_timeout_s(self.owner.is_new(self), self.owner.is_draining)
             if now - self.idle_since > timeout_s:
                 self.close_if_idle()
 
--- a/ingress/downstream/timeouts.py
+++ b/ingress/downstream/timeouts.py
@@ -8,7 +8,7 @@
 DRAIN_FIRST_REQUEST_TIMEOUT_S = 0.2  # for the first command on a connection while the listener drains
 
 
-def idle_timeout_s(is_new: bool, is_draining: bool) -> float:
+def compute_idle_timeout_s(is_new: bool, is_draining: bool) -> float:
     """Return the idle timeout of a connection; a new connection has not sent a command."""
     if is_draining:
         # The first command of a connection that has just been accepted may still be in transit.
--- a/ingress/process/in_flight.py
+++ b/ingress/process/in_flight.py
@@ -30,9 +30,9 @@
     is_answered: bool = False
     """Whether the request has its final answer or its client has disconnected."""
     attempt: Attempt | None = None
-    """The attempt in flight; there is never more than one."""
+    """The attempt in flight, if any; there is never more than one."""
     deadline_timer: asyncio.TimerHandle | None = None
-    """Enforces a final answer shortly before the deadline."""
+    """The timer that enforces a final answer shortly before the deadline."""
 
 
 class InFlightRequests:
--- a/ingress/process/ingress.py
+++ b/ingress/process/ingress.py
@@ -73,8 +73,9 @@
     async def run(self, stop: asyncio.Event) -> None:
         """Serve until `stop` is set, then shut down gracefully."""
         self._restore_endpoints()
-        # The start uses more CPU time than the process is granted per second, so it may be throttled now.  If
-        # it listened at once, it would receive requests and list changes before it gets CPU time for them.
+        # The start uses more CPU time than the process is granted per second, so the process may be throttled
+        # now.  If it listened without this pause, it would receive requests and list changes before it gets
+        # CPU time for them.
         await asyncio.sleep(STARTUP_PAUSE_S)
         if stop.is_set():
             # SIGTERM arrived during the start.  SIGKILL may follow at any time, so no connection is accepted.
--- a/tests/downstream/test_timeouts.py
+++ b/tests/downstream/test_timeouts.py
@@ -8,7 +8,7 @@
     DRAIN_FIRST_REQUEST_TIMEOUT_S,
     IDLE_TIMEOUT_S,
     READ_TIMEOUT_S,
-    idle_timeout_s,
+    compute_idle_timeout_s,
 )
 
 
@@ -24,4 +24,4 @@
 def test_idle_timeout_depends_on_first_command_and_draining(
     is_new: bool, is_draining: bool, expected_s: float
 ) -> None:
-    assert idle_timeout_s(is_new=is_new, is_draining=is_draining) == expected_s
+    assert compute_idle_timeout_s(is_new=is_new, is_draining=is_draining) == expected_s
