--- a/ingress/counter/client.py
+++ b/ingress/counter/client.py
@@ -12,7 +12,7 @@
     CounterCall,
     MalformedCounterReplyError,
     encode_add,
-    parse_answer,
+    parse_reply_line,
 )
 from ingress.interface import CounterReply, Outcome
 from ingress.network.addresses import Address
@@ -22,17 +22,17 @@
 log = logging.getLogger(__name__)
 
 CONNECT_TIMEOUT_S = 0.25
-DEFAULT_CALL_TIMEOUT_S = 0.05  # used if the settings contain no time-out
+DEFAULT_CALL_TIMEOUT_S = 0.05  # used if the settings contain no timeout
 IDLE_TIMEOUT_S = 8.0  # the counter itself closes a connection after about 10 s without calls
-MIN_IDLE_CHECK_S = 0.5  # minimum time between two checks whether a connection is idle
+MIN_IDLE_CHECK_INTERVAL_S = 0.5  # minimum time between two checks whether a connection is idle
 MAX_CONNECTIONS = 8  # the counter accepts up to 32 connections from one ingress
-SILENT_TIMEOUTS = 6  # a connection whose oldest call is unanswered for this many call time-outs is closed
+SILENT_TIMEOUTS = 6  # a connection is closed if its oldest call is unanswered for this many call timeouts
 MAX_PENDING_CALLS = 2000  # unsent and unanswered calls; further calls are rejected
-MAX_LOGGED_FAULTS = 20  # the first faults are each logged, later ones only every hundredth
+MAX_LOGGED_FAULTS = 20  # faults that are all logged; of the later ones only every hundredth is
 
 
 class CounterClient:
-    """Sends calls to the counter; each call results in exactly one `CounterReply`."""
+    """A client of the shared counter that reports exactly one `CounterReply` for each call."""
 
     def __init__(
         self, address: Address, timeout_s: float, clock: Clock, on_reply: Callable[[CounterReply], None]
@@ -45,15 +45,15 @@
         self.loop = asyncio.get_running_loop()
         self.connections: list[CounterConnection] = []
         self.unsent_calls: deque[CounterCall] = deque()  # calls that wait for the first connection to open
-        self.connect_task: asyncio.Task[None] | None = None  # to the current address
-        self.all_connect_tasks: set[asyncio.Task[None]] = set()  # to the current and to earlier addresses
+        self.connect_task: asyncio.Task[None] | None = None  # connects to the current address
+        self.all_connect_tasks: set[asyncio.Task[None]] = set()  # includes those to earlier addresses
         self.fault_log = RateLimitedLog(log, MAX_LOGGED_FAULTS)
         self.is_closed = False
 
     def increment(self, name: int, amount: float, lifetime_s: float) -> None:
-        """Add the amount to the counter `name`, which expires after `lifetime_s`.
+        """Add the amount to the count `name`, which the counter deletes after `lifetime_s`.
 
-        The reply is passed to `on_reply`.
+        Pass the reply to `on_reply`.
         """
         call = CounterCall(name, encode_add(name, amount, lifetime_s), self.clock())
         if self._count_pending_calls() >= MAX_PENDING_CALLS:
@@ -68,12 +68,15 @@
             connection.write(call)
 
     def change_address(self, address: Address) -> None:
-        """Send further calls to another address; calls already sent may still be answered by the old one."""
+        """Send further calls to another address.
+
+        Calls that were already sent may still get their replies from the old address.
+        """
         self.address = address
-        retired = self.connections
+        retired_connections = self.connections
         self.connections = []
         self.connect_task = None
-        for connection in retired:
+        for connection in retired_connections:
             connection.retire(self.loop, self.timeout_s)
         if self.unsent_calls:
             self._start_connecting()
@@ -93,10 +96,12 @@
         )
 
     def _close_silent_connections(self, now: float) -> None:
-        """Close connections that are open but give no answers: further calls on them would time out too."""
-        answer_due_from = now - SILENT_TIMEOUTS * self.timeout_s
+        """Close connections on which replies are overdue, since further calls on them would time out too."""
+        earliest_allowed_start = now - SILENT_TIMEOUTS * self.timeout_s
         for connection in [
-            each for each in self.connections if each.has_unanswered_call_from_before(answer_due_from)
+            candidate
+            for candidate in self.connections
+            if candidate.has_unanswered_call_started_before(earliest_allowed_start)
         ]:
             self.fault_log.warning("counter connection silent")
             connection.close()
@@ -104,8 +109,9 @@
     def _choose_connection(self) -> CounterConnection | None:
         """Return the connection with the fewest unanswered calls, or None if there is no connection.
 
-        If that connection has unanswered calls, open a further one.  Answers come in order, and the names
-        are spread over several counter parts: a call to one part must not wait behind a call to a slow one.
+        If that connection has unanswered calls, start to open a further one.  Replies on a connection come in
+        the order of the calls, and the counts are spread over several counter parts.  With one connection, a
+        call to one part would have to wait for the reply of a slower part.
         """
         least_busy = min(
             self.connections, key=lambda connection: len(connection.unanswered_calls), default=None
@@ -141,7 +147,7 @@
         if connection is not None and connection.is_open():
             self._add_connection(connection)
             for call in unsent_calls:
-                if not call.is_reported:  # calls that timed out were reported as not executed
+                if not call.is_reported:  # a call that timed out was reported as not executed
                     connection.write(call)
         else:
             for call in unsent_calls:
@@ -164,55 +170,58 @@
         connection.idle_timer = self.loop.call_later(IDLE_TIMEOUT_S, self._close_if_idle, connection)
 
     def _close_if_idle(self, connection: CounterConnection) -> None:
-        """Close an idle connection before the counter does, as its close could coincide with a new call."""
+        """Close an idle connection before the counter closes it, which could coincide with a new call."""
         time_left = connection.last_written_at + IDLE_TIMEOUT_S - self.clock()
         if time_left <= 0 and not connection.unanswered_calls:
             connection.close()
         else:
-            delay = max(time_left, MIN_IDLE_CHECK_S)
+            delay = max(time_left, MIN_IDLE_CHECK_INTERVAL_S)
             connection.idle_timer = self.loop.call_later(delay, self._close_if_idle, connection)
 
     # Callbacks of the connections
 
-    def on_answer_line(self, call: CounterCall, line: bytes) -> bool:
-        """Report the answer; return whether it is well-formed, so that its connection can still be used.
+    def on_reply_line(self, call: CounterCall, line: bytes) -> bool:
+        """Report the reply; return whether it is valid, so that its connection can still be used.
 
-        After a malformed answer it is unknown whether the amount was added.
+        After a malformed reply, the counter may or may not have added the amount.
         """
         try:
-            answer = parse_answer(line)
+            reply = parse_reply_line(line)
         except MalformedCounterReplyError as error:
             self.fault_log.warning("counter reply malformed reason=%s", error)
             self._report(call, Outcome.TIMEOUT)
             return False
-        if answer.is_error:
+        if reply.is_error:
             self.fault_log.warning("counter call refused line=%r", call.line)
-        self._report(call, answer.outcome, answer.total)
+        self._report(call, reply.outcome, reply.total)
         return True
 
     def on_protocol_fault(self, reason: str) -> None:
         """Log a violation of the protocol by the counter."""
         self.fault_log.warning("counter protocol fault reason=%s", reason)
 
-    def on_connection_closed(self, connection: CounterConnection, unanswered: deque[CounterCall]) -> None:
+    def on_connection_closed(
+        self, connection: CounterConnection, unanswered_calls: deque[CounterCall]
+    ) -> None:
         """Remove the connection and report its unanswered calls as timed out.
 
         The counter may have executed them.
         """
         if connection in self.connections:
             self.connections.remove(connection)
-        while unanswered:
-            self._report(unanswered.popleft(), Outcome.TIMEOUT)
+        while unanswered_calls:
+            self._report(unanswered_calls.popleft(), Outcome.TIMEOUT)
 
     # Ends of calls
 
     def _on_timeout(self, call: CounterCall) -> None:
         """Report the call as timed out or, if it was never written, as not executed.
 
-        A call that was written remains in the queue of unanswered calls, since its answer may still come.
+        A call that was written remains in the queue of unanswered calls, since its reply may still come
+        and must not be taken for the reply to the next call.
         """
         call.timer = None
-        is_unsent = any(other is call for other in self.unsent_calls)
+        is_unsent = any(unsent_call is call for unsent_call in self.unsent_calls)
         self._report(call, Outcome.CONNECT_FAILED if is_unsent else Outcome.TIMEOUT)
 
     def _report(self, call: CounterCall, outcome: Outcome, total: float = 0.0) -> None:
--- a/ingress/counter/connection.py
+++ b/ingress/counter/connection.py
@@ -1,4 +1,4 @@
-"""One connection to the shared counter: calls are pipelined, and answers arrive in the order of the calls."""
+"""One connection to the shared counter: calls are pipelined, and replies arrive in the order of the calls."""
 
 from __future__ import annotations
 
@@ -10,16 +10,18 @@
 
 
 class CounterConnectionOwner(Protocol):
-    """Receives the callbacks of the connections that it opened."""
+    """The callbacks of a connection, implemented by the client that opened it."""
 
-    def on_answer_line(self, call: CounterCall, line: bytes) -> bool:
-        """Handle the answer to a call; return whether the connection can still be used."""
+    def on_reply_line(self, call: CounterCall, line: bytes) -> bool:
+        """Handle the reply to a call; return whether the connection can still be used."""
 
     def on_protocol_fault(self, reason: str) -> None:
-        """Handle a violation of the protocol by the peer; the connection closes itself afterwards."""
+        """Handle a violation of the protocol by the counter; the connection closes itself afterwards."""
 
-    def on_connection_closed(self, connection: CounterConnection, unanswered: deque[CounterCall]) -> None:
-        """Handle the end of a connection; the counter may have executed the calls without an answer."""
+    def on_connection_closed(
+        self, connection: CounterConnection, unanswered_calls: deque[CounterCall]
+    ) -> None:
+        """Handle the end of a connection; the counter may have executed its unanswered calls."""
 
 
 class CounterConnection(asyncio.Protocol):
@@ -28,7 +30,7 @@
     def __init__(self, owner: CounterConnectionOwner) -> None:
         self.owner = owner
         self.transport: asyncio.Transport | None = None
-        self.last_written_at = 0.0  # s, on the client's clock
+        self.last_written_at = 0.0  # time of the last call in seconds, on the client's clock
         self.idle_timer: asyncio.TimerHandle | None = None
         self.unanswered_calls: deque[CounterCall] = deque()  # in the order in which they were written
         self.partial_line = b""  # received bytes after the last complete line
@@ -39,14 +41,14 @@
         self.transport = cast(asyncio.Transport, transport)  # uvloop has its own transport class
 
     def data_received(self, data: bytes) -> None:
-        """Pass each complete line to the owner as the answer to the oldest unanswered call."""
+        """Pass each complete line to the owner as the reply to the oldest unanswered call."""
         *lines, self.partial_line = (self.partial_line + data).split(b"\n")
         for line in lines:
             if not self.unanswered_calls:
                 self.owner.on_protocol_fault("unsolicited answer")
                 self.close()
                 return
-            if not self.owner.on_answer_line(self.unanswered_calls.popleft(), line.strip()):
+            if not self.owner.on_reply_line(self.unanswered_calls.popleft(), line.strip()):
                 self.close()
                 return
         if self.is_retired and not self.unanswered_calls:
@@ -56,7 +58,7 @@
             self.close()
 
     def eof_received(self) -> None:
-        """Close the connection, as the counter has closed its side."""
+        """Close the connection, since the counter has closed its side."""
         self.close()
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -74,12 +76,15 @@
         """Return whether calls can be written."""
         return self.transport is not None
 
-    def has_unanswered_call_from_before(self, time: float) -> bool:
-        """Return whether the oldest call without an answer was started before `time`."""
+    def has_unanswered_call_started_before(self, time: float) -> bool:
+        """Return whether the oldest unanswered call was started before `time`."""
         return bool(self.unanswered_calls) and self.unanswered_calls[0].started_at < time
 
     def retire(self, loop: asyncio.AbstractEventLoop, timeout_s: float) -> None:
-        """Close after the last outstanding answer or the time-out; no further call may be written."""
+        """Close the connection after the reply to its last call, or after `timeout_s`.
+
+        No further call may be written.
+        """
         self.is_retired = True
         if self.unanswered_calls:
             loop.call_later(timeout_s, self.close)
@@ -87,7 +92,7 @@
             self.close()
 
     def close(self) -> None:
-        """Close at once.  The counter may have executed calls that were written but not answered."""
+        """Close the connection immediately.  The counter may have executed its unanswered calls."""
         if self.idle_timer is not None:
             self.idle_timer.cancel()
         if self.transport is not None:
--- a/ingress/discovery/backoff.py
+++ b/ingress/discovery/backoff.py
@@ -1,4 +1,4 @@
-"""Compute the delay before a failed call to the discovery agent is retried.
+"""Compute the delay before the retry of a failed call to the discovery agent.
 
 The delays are random (jitter), so that gateways whose calls failed at the same time do not retry at the same
 time.  An overloaded service would otherwise never recover.
@@ -14,8 +14,8 @@
     margin                                NOTIFICATION_MARGIN_S         0.25 s
     total                                 NOTIFIED_WITHIN_S             6.00 s
 
-The delay after any other failure is at most `max_backoff_s`, which is shorter.  A long poll whose connection
-stops working takes less time, too:
+The delay after any other failure is at most `max_backoff_s`, which is shorter.  The times add up to
+less if the connection of a long poll stops working:
 
     timeout of the lost long poll         WATCH_WAIT_MS                 1.00 s
                                           watch_grace_s                 2.25 s
@@ -24,7 +24,7 @@
     margin                                NOTIFICATION_MARGIN_S         0.25 s
     total                                                               5.75 s
 
-With an agent that pushes changes, each of these calls takes less time.
+With an agent that pushes changes, each step takes less time.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 )
 
 INITIAL_BACKOFF_S = 0.1  # upper bound of the first delay; each further failure doubles the bound
-MAX_TIMEOUT_BACKOFF_S = 0.25  # short, since the timeout itself has already spaced the calls
+MAX_TIMEOUT_BACKOFF_S = 0.25  # short, since the timeout has already delayed the retry
 # The agent serves one call after another, so a call that it rejects delays the calls of other gateways.
 # Retries of rejected calls therefore start later and may be delayed longer.
 INITIAL_REJECTED_BACKOFF_S = 0.8
--- a/ingress/discovery/client.py
+++ b/ingress/discovery/client.py
@@ -13,9 +13,9 @@
     """A client that fetches endpoint lists from a discovery agent."""
 
     async def fetch(self, query: str, timeout_s: float, max_body_bytes: int) -> bytes | bytearray:
-        """Make one call and return the body of the answer.
+        """Make one call and return the body of the response.
 
-        `query` is empty or begins with "?".  Raise DiscoveryUnavailableError if there is no usable answer,
+        `query` is empty or begins with "?".  Raise DiscoveryUnavailableError if there is no usable response,
         and InvalidEndpointListError if its body is longer than `max_body_bytes`.
         """
 
--- a/ingress/discovery/endpoint_entry.py
+++ b/ingress/discovery/endpoint_entry.py
@@ -31,7 +31,7 @@
     weight: float = DEFAULT_WEIGHT
     """Capacity relative to other backends."""
     started_ms: float | None = None
-    """Time of the last start in milliseconds of Unix time; 0 or None if that was long ago."""
+    """Time of the last start in milliseconds of Unix time; 0 or None if the start was long ago."""
 
 
 def check_entry(entry: EndpointEntry) -> int:
--- a/ingress/discovery/endpoint_list.py
+++ b/ingress/discovery/endpoint_list.py
@@ -17,37 +17,37 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LOGGED_ENTRIES = 50  # skipped entries of one list that are logged individually
+MAX_LOGGED_ENTRIES = 50  # skipped entries of one list that are logged one by one
 MAX_LOGGED_REASON_CHARS = 200
-ENTRIES_PER_SLICE = 500  # decoded before the event loop runs other callbacks: about 5 ms
-# Upper bound of a list, if the memory limit allows it: MAX_ENTRIES entries of ENTRY_BYTES bytes each.
+ENTRIES_PER_BATCH = 500  # decoded in about 5 ms, after which the event loop runs other callbacks
+# The longest list has MAX_ENTRIES entries of ENTRY_BYTES bytes each, if the memory limit allows that much.
 MAX_ENTRIES = 250_000
 ENTRY_BYTES = 130
-# Largest share of `max_buffered_bytes` (a sixth of the memory limit) that the body of one answer may take.
-# While a list is decoded, it takes three times the length of its body, the previous list takes two times that
-# length, and the decision module's data on the backends six or seven times.
+# Largest share of `max_buffered_bytes` (a sixth of the memory limit) that the body of one response may
+# take.  While a list is decoded, the list takes three times as much memory as its body, the previous list two
+# times as much, and the decision module's data on the backends six or seven times as much.
 MAX_BODY_SHARE = 3 / 8
 
 
 @dataclass(frozen=True, slots=True)
 class EndpointList:
-    """One answer of the agent: the full endpoint list, or only the entries that changed."""
+    """One response of the agent: the complete endpoint list, or only the entries that changed."""
 
     version: int
-    is_full: bool
-    """Whether this is the full list."""
+    is_complete: bool
+    """Whether this is the complete list."""
     backends: tuple[Backend, ...]
     addresses: AddressBook
     """The addresses of the backends by their ids."""
 
 
 class UndecodedEndpointList(msgspec.Struct):
-    """An answer of the agent whose entries are not decoded yet."""
+    """A response of the agent whose entries are not decoded yet."""
 
     version: int
     servers: list[msgspec.Raw]
     full: bool | None = None
-    """Whether this is the full list; None means that it is not."""
+    """Whether this is the complete list; None means that it is not."""
 
 
 _list_decoder: msgspec.json.Decoder[UndecodedEndpointList] = msgspec.json.Decoder(UndecodedEndpointList)
@@ -55,12 +55,12 @@
 
 
 def compute_max_body_bytes(max_buffered_bytes: int) -> int:
-    """Return how many bytes an answer may have if `max_buffered_bytes` may be buffered for one purpose."""
+    """Return how many bytes a response may have if `max_buffered_bytes` may be buffered for one purpose."""
     return min(MAX_ENTRIES * ENTRY_BYTES, int(max_buffered_bytes * MAX_BODY_SHARE))
 
 
 async def decode_endpoint_list(body: bytes | bytearray) -> EndpointList:
-    """Decode the body of an answer in slices, between which the event loop runs other callbacks.
+    """Decode the body of a response in batches, between which the event loop runs other callbacks.
 
     Skip and log invalid entries; raise InvalidEndpointListError if the body as a whole is invalid.
     """
@@ -70,11 +70,11 @@
         raise InvalidEndpointListError(str(error)) from error
     raw_entries = undecoded_list.servers
     builder = EndpointListBuilder(undecoded_list.version)
-    for start in range(0, len(raw_entries), ENTRIES_PER_SLICE):
+    for start in range(0, len(raw_entries), ENTRIES_PER_BATCH):
         if start:
             await asyncio.sleep(0)
-        builder.add(raw_entries[start : start + ENTRIES_PER_SLICE], _entry_decoder.decode)
-    return builder.build(is_full=bool(undecoded_list.full))
+        builder.add(raw_entries[start : start + ENTRIES_PER_BATCH], _entry_decoder.decode)
+    return builder.build(is_complete=bool(undecoded_list.full))
 
 
 def parse_endpoint_list(source: Any) -> EndpointList:
@@ -89,7 +89,7 @@
         raise InvalidEndpointListError(f"version is not an integer: {version!r}")
     builder = EndpointListBuilder(version)
     builder.add(source["servers"], lambda raw_entry: msgspec.convert(raw_entry, EndpointEntry))
-    return builder.build(is_full=bool(source.get("full")))
+    return builder.build(is_complete=bool(source.get("full")))
 
 
 class EndpointListBuilder:
@@ -113,11 +113,11 @@
             self._backends.append(to_backend(entry))
             self._addresses[entry.id] = address
 
-    def build(self, *, is_full: bool) -> EndpointList:
+    def build(self, *, is_complete: bool) -> EndpointList:
         """Return the endpoint list of the entries that were added."""
         if self._skipped_count > MAX_LOGGED_ENTRIES:
             log.warning("endpoint entries skipped version=%s count=%d", self._version, self._skipped_count)
-        return EndpointList(self._version, is_full, tuple(self._backends), AddressBook(self._addresses))
+        return EndpointList(self._version, is_complete, tuple(self._backends), AddressBook(self._addresses))
 
     def _skip_entry(self, error: Exception) -> None:
         self._skipped_count += 1
--- a/ingress/discovery/errors.py
+++ b/ingress/discovery/errors.py
@@ -10,15 +10,15 @@
 
 
 class DiscoveryUnavailableError(DiscoveryError):
-    """The agent gave no usable answer; the endpoint list held by the watch stays valid."""
+    """The agent sent no usable response; the endpoint list held by the watch stays valid."""
 
 
 class DiscoveryTimeoutError(DiscoveryUnavailableError):
-    """The call was not answered within its timeout."""
+    """No complete response arrived within the timeout of the call."""
 
 
 class DiscoveryRejectedError(DiscoveryUnavailableError):
-    """The agent answered with a status other than 200, as it does under overload."""
+    """The agent responded with a status other than 200, as it does under overload."""
 
 
 class NoResponseError(DiscoveryUnavailableError):
@@ -26,4 +26,4 @@
 
 
 class InvalidEndpointListError(DiscoveryError, ValueError):
-    """An answer is too long, can't be decoded, or doesn't apply to the endpoint list held by the watch."""
+    """A response is too long, can't be decoded, or doesn't apply to the endpoint list held by the watch."""
--- a/ingress/discovery/http_client.py
+++ b/ingress/discovery/http_client.py
@@ -21,19 +21,19 @@
 
 
 class HttpDiscoveryClient:
-    """A `DiscoveryClient` that reuses its connection for the next call."""
+    """A `DiscoveryClient` over HTTP/1.1 that keeps its connection for the next call."""
 
     def __init__(self, address: Address) -> None:
         self._address = address
         self._connection: HttpConnection | None = None
 
     async def fetch(self, query: str, timeout_s: float, max_body_bytes: int) -> bytes | bytearray:
-        """See `DiscoveryClient.fetch`; the timeout includes connecting and reading the whole response."""
+        """Implement `DiscoveryClient.fetch`; the timeout includes connecting and reading the response."""
         try:
             async with asyncio.timeout(timeout_s):
                 return await self._fetch_with_resend(query, max_body_bytes)
         except TimeoutError as error:
-            raise DiscoveryTimeoutError(f"no answer in {timeout_s:g} s") from error
+            raise DiscoveryTimeoutError(f"no response in {timeout_s:g} s") from error
 
     def close(self) -> None:
         """Close the kept connection, if any."""
--- a/ingress/discovery/http_connection.py
+++ b/ingress/discovery/http_connection.py
@@ -53,8 +53,8 @@
         if response.status_code != HTTP_OK:
             self._discard_received_body()
             raise DiscoveryRejectedError(f"status {response.status_code}")
-        if _content_length(response) > max_body_bytes:
-            raise _too_long_error(max_body_bytes)
+        if _get_content_length(response) > max_body_bytes:
+            raise _make_too_long_error(max_body_bytes)
         return await self._read_body(max_body_bytes)
 
     def prepare_reuse(self) -> bool:
@@ -99,7 +99,7 @@
             body += event.data
             # A response without a Content-Length may never end, so the limit is checked here as well.
             if len(body) > max_body_bytes:
-                raise _too_long_error(max_body_bytes)
+                raise _make_too_long_error(max_body_bytes)
         return body
 
     def _discard_received_body(self) -> None:
@@ -124,12 +124,12 @@
             self._protocol.receive_data(data)
 
 
-def _content_length(response: h11.Response) -> int:
+def _get_content_length(response: h11.Response) -> int:
     """Return the Content-Length in bytes, or 0 if there is none."""
     return next((int(value) for name, value in response.headers if name == b"content-length"), 0)
 
 
-def _too_long_error(max_body_bytes: int) -> InvalidEndpointListError:
+def _make_too_long_error(max_body_bytes: int) -> InvalidEndpointListError:
     return InvalidEndpointListError(
         f"the list is too long: more than the {max_body_bytes} bytes that limits.memory_mb allows"
     )
--- a/ingress/discovery/watch.py
+++ b/ingress/discovery/watch.py
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-# Answers up to this size are accepted whatever the memory limit: about 30,000 backends.
+# Responses up to this size (about 30,000 backends) are accepted whatever the memory limit is.
 DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
 # A failure is logged only if the number of consecutive failures before it is one of these.
 LOGGED_FAILURE_COUNTS = (0, 10, 100, 1000)
@@ -44,7 +44,7 @@
         """Make a watch that does not call the agent before `run`.
 
         `version` is the version of the list that is held at the start; with None, the first call asks for the
-        full list.  Answers may have `max_body_bytes` bytes, or DEFAULT_MAX_BODY_BYTES if that is more.
+        complete list.  Responses may have `max_body_bytes` bytes, or DEFAULT_MAX_BODY_BYTES if that is more.
         """
         self.version = version
         self._address = address
@@ -73,8 +73,8 @@
     def _record_failure(self, failure_count: int, error: Exception) -> None:
         if failure_count in LOGGED_FAILURE_COUNTS:
             log.warning("discovery poll failed error=%s reason=%s", type(error).__name__, error)
-        # The full list is the most expensive answer for discovery, so the watch asks for it only if the list
-        # held here may be wrong.
+        # The complete list is the most expensive response for discovery, so the watch asks for it only if the
+        # held list may be wrong.
         if not isinstance(error, DiscoveryUnavailableError):
             self.version = None
 
@@ -84,13 +84,13 @@
         # handled.
         update = await decode_endpoint_list(await client.fetch(query, timeout_s, self._max_body_bytes))
         # A restarted agent may count its versions from the start again; its changes then don't apply to the
-        # list held here.
-        if not update.is_full and (self.version is None or update.version < self.version):
+        # held list.
+        if not update.is_complete and (self.version is None or update.version < self.version):
             raise InvalidEndpointListError(
                 f"changes of version {update.version} do not follow version {self.version}"
             )
         self.version = update.version
-        if update.is_full:
+        if update.is_complete:
             self._on_update(EndpointUpdateKind.REPLACE, update)
         elif update.backends:
             self._on_update(EndpointUpdateKind.UPDATE, update)
--- a/ingress/network/addresses.py
+++ b/ingress/network/addresses.py
@@ -1,4 +1,4 @@
-"""IPv4 addresses with a port: parsing from text, and packing into one integer each to save memory."""
+"""Addresses (IPv4 and port): parsing from text, and packing into one integer each to save memory."""
 
 from __future__ import annotations
 
@@ -50,7 +50,7 @@
 
 
 class AddressBook(Mapping[str, Address]):
-    """Maps backend ids to addresses, each of which is stored as a packed integer."""
+    """A mapping of backend ids to addresses, which stores each address as a packed integer."""
 
     __slots__ = ("_packed",)
 
@@ -63,16 +63,16 @@
         """Return a new book with the same addresses."""
         if isinstance(addresses, AddressBook):
             return cls(addresses.to_packed())
-        return cls({name: pack_address(address) for name, address in addresses.items()})
+        return cls({backend_id: pack_address(address) for backend_id, address in addresses.items()})
 
-    def __getitem__(self, name: str) -> Address:
-        return unpack_address(self._packed[name])
+    def __getitem__(self, backend_id: str) -> Address:
+        return unpack_address(self._packed[backend_id])
 
-    def __setitem__(self, name: str, address: Address) -> None:
-        self._packed[name] = pack_address(address)
+    def __setitem__(self, backend_id: str, address: Address) -> None:
+        self._packed[backend_id] = pack_address(address)
 
-    def __contains__(self, name: object) -> bool:
-        return name in self._packed
+    def __contains__(self, backend_id: object) -> bool:
+        return backend_id in self._packed
 
     def __iter__(self) -> Iterator[str]:
         return iter(self._packed)
@@ -84,6 +84,6 @@
         """Return a copy of the packed addresses, by backend id."""
         return self._packed.copy()
 
-    def discard(self, name: str) -> None:
+    def discard(self, backend_id: str) -> None:
         """Remove the address of a backend, if the book has one."""
-        self._packed.pop(name, None)
+        self._packed.pop(backend_id, None)
--- a/ingress/network/frames.py
+++ b/ingress/network/frames.py
@@ -9,8 +9,8 @@
 from ingress.network.errors import ProtocolError
 
 MAX_HEADER_BYTES = 16  # maximum length of a line with a count or a length, including its terminator
-ARRAY_MARK = ord("*")
-BULK_STRING_MARK = ord("$")
+ARRAY_TYPE_BYTE = ord("*")
+BULK_STRING_TYPE_BYTE = ord("$")
 TERMINATOR = b"\r\n"
 TERMINATOR_BYTES = len(TERMINATOR)
 NULL_BULK_STRING = b"$-1\r\n"
@@ -41,8 +41,8 @@
     max_position = start + max_array_bytes
     header_end = find(TERMINATOR, start, start + MAX_HEADER_BYTES)
     digits = data[start + 1 : header_end]
-    if header_end < 0 or data[start] != ARRAY_MARK or not digits.isdigit():
-        _check_incomplete_header(data, start, ARRAY_MARK)
+    if header_end < 0 or data[start] != ARRAY_TYPE_BYTE or not digits.isdigit():
+        _check_incomplete_header(data, start, ARRAY_TYPE_BYTE)
         return INCOMPLETE
     count = int(digits)
     if count > max_items:
@@ -51,7 +51,7 @@
     for _ in range(count):
         header_end = find(TERMINATOR, position, position + MAX_HEADER_BYTES)
         digits = data[position + 1 : header_end]
-        if header_end < 0 or data[position] != BULK_STRING_MARK or not digits.isdigit():
+        if header_end < 0 or data[position] != BULK_STRING_TYPE_BYTE or not digits.isdigit():
             position = _find_null_end(data, position, header_end, allow_null)
             if position < 0:
                 return INCOMPLETE
@@ -75,15 +75,15 @@
     """
     if allow_null and NULL_BULK_STRING.startswith(bytes(data[start : start + len(NULL_BULK_STRING)])):
         return INCOMPLETE if header_end < 0 else header_end + TERMINATOR_BYTES
-    _check_incomplete_header(data, start, BULK_STRING_MARK)
+    _check_incomplete_header(data, start, BULK_STRING_TYPE_BYTE)
     return INCOMPLETE
 
 
-def _check_incomplete_header(data: bytes | bytearray, start: int, mark: int) -> None:
+def _check_incomplete_header(data: bytes | bytearray, start: int, type_byte: int) -> None:
     """Raise FrameError unless the bytes from `start` on are the beginning of a valid header."""
     text, _, rest = data[start : start + MAX_HEADER_BYTES].partition(b"\r")
     digits = text[1:]
-    if text and text[0] != mark:
+    if text and text[0] != type_byte:
         raise FrameError("not an array of bulk strings")
     if digits[:1] == b"-":
         raise FrameError("broken frame: a length below nothing")
--- a/ingress/network/rate_limited_log.py
+++ b/ingress/network/rate_limited_log.py
@@ -6,20 +6,20 @@
 
 
 class RateLimitedLog:
-    """Logs each of the first faults but only every nth later one, to limit the cost of logging."""
+    """A log that contains the first faults but only every nth later one, to limit the cost of logging."""
 
     __slots__ = ("_count", "_every", "_first", "_logger")
 
-    def __init__(self, logger: logging.Logger, first: int, every: int = 100) -> None:
-        """Log the `first` faults, and of the later ones each whose number is a multiple of `every`."""
+    def __init__(self, logger: logging.Logger, first_count: int, sample_interval: int = 100) -> None:
+        """Log the first `first_count` faults, and of the later ones every `sample_interval`-th."""
         self._logger = logger
-        self._first = first
-        self._every = every
+        self._first = first_count
+        self._every = sample_interval
         self._count = 0
 
     @property
     def count(self) -> int:
-        """Number of faults so far, logged or not."""
+        """Number of faults so far, whether they were logged or not."""
         return self._count
 
     def warning(self, event: str, *args: object) -> None:
--- a/ingress/upstream/attempt.py
+++ b/ingress/upstream/attempt.py
@@ -13,14 +13,14 @@
 
 
 class AttemptConnection(Protocol):
-    """The part of a connection that an attempt uses after it was written to it."""
+    """The part of a connection that an attempt uses once its command was written."""
 
     @property
     def has_unsent_bytes(self) -> bool:
         """Whether part of the command has not been handed to the operating system yet."""
 
     def close(self) -> None:
-        """Close the connection at once."""
+        """Close the connection immediately."""
 
 
 @dataclass(slots=True, eq=False)
@@ -43,10 +43,14 @@
         return self.connection is not None and not self.connection.has_unsent_bytes
 
     def encode_command(self, now: float) -> bytes:
-        """Return the client's command with its field `d` set to the milliseconds left until the deadline."""
-        before, fields, after = self.command_parts
-        time_left = b"d=%d" % max(1, int((self.deadline - now) * 1000))
+        """Return the client's command with its field `d` set to the milliseconds left until the deadline.
+
+        The field is at least 1, also after the deadline.
+        """
+        before, field_list, after = self.command_parts
+        time_left_field = b"d=%d" % max(1, int((self.deadline - now) * 1000))
         rewritten = b",".join(
-            time_left if wire_field.startswith(b"d=") else wire_field for wire_field in fields.split(b",")
+            time_left_field if wire_field.startswith(b"d=") else wire_field
+            for wire_field in field_list.split(b",")
         )
         return b"%b$%d\r\n%b%b" % (before, len(rewritten), rewritten, after)
--- a/ingress/upstream/connecting.py
+++ b/ingress/upstream/connecting.py
@@ -10,7 +10,8 @@
 from ingress.network.addresses import Address
 from ingress.upstream.connection import BackendConnection
 
-# Errors when this machine lacks descriptors, memory or local ports; they say nothing about the backend.
+# Errors that occur when this machine lacks descriptors, memory or local ports; they say nothing about the
+# backend.
 LOCAL_ERRNOS = frozenset((errno.EMFILE, errno.ENFILE, errno.ENOBUFS, errno.ENOMEM, errno.EADDRNOTAVAIL))
 
 
@@ -23,7 +24,7 @@
     """Connect to the address and return what `make_connection` makes for the socket.
 
     Raise OSError (which includes TimeoutError) if no connection is established in `timeout_s`.  The socket is
-    closed on any failure, also if the task is cancelled.
+    closed on any failure, and also if the task is cancelled.
     """
     sock = socket.socket(socket.AF_INET, socket.SOCK_STREAM)
     try:
--- a/ingress/upstream/connection.py
+++ b/ingress/upstream/connection.py
@@ -39,13 +39,13 @@
         """Handle the end of the connection before the whole reply to the attempt arrived."""
 
     def on_idle_connection_broken(self, idle_s: float) -> None:
-        """Handle the end of a connection that had been idle for `idle_s` and then got an attempt.
+        """Handle the end of a connection before any byte of the reply to its attempt arrived.
 
-        No byte of the reply to this attempt arrived.
+        `idle_s` is the time for which the connection had been idle before the attempt, or 0 if it was new.
         """
 
     def on_connection_closed(self, connection: BackendConnection) -> None:
-        """Handle that the connection has closed itself, whatever the reason."""
+        """Handle that the connection has closed itself, for whatever reason."""
 
     def release_connection(self, connection: BackendConnection) -> None:
         """Take back a connection that can carry another attempt."""
@@ -69,18 +69,18 @@
         self.transport: asyncio.Transport | None = None
         self.attempt: Attempt | None = None  # attempt that waits for its reply
         self.buffer = b""  # bytes of a reply that is not complete yet
-        self.idle_since = 0.0  # time at which the connection last became idle; 0 if it never was
-        self.idle_before_attempt_s = 0.0  # idle time before the current attempt
+        self.idle_since = 0.0  # time of the last change to idle; 0 if it never was idle
+        self.idle_before_attempt_s = 0.0  # idle time before the current attempt; 0 if the connection was new
         self.is_open = True
-        # Whether part of the command is not handed to the operating system yet, so that the backend has not
-        # executed the command.
+        # Whether part of the command has not been handed to the operating system yet.  If so, the backend
+        # cannot have executed the command.
         self.has_unsent_bytes = False
 
     # Callbacks from the event loop
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
-        """Make the transport call `pause_writing` as soon as it has to buffer any bytes."""
-        self.transport = cast(asyncio.Transport, transport)  # uvloop's transport is a class of its own
+        """Keep the transport, and make it call `pause_writing` as soon as it has to buffer any bytes."""
+        self.transport = cast(asyncio.Transport, transport)  # uvloop has its own transport class
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
@@ -121,7 +121,7 @@
         self.owner.on_reply(attempt, reply)
 
     def eof_received(self) -> None:
-        """Treat a backend that has closed its side like a lost connection."""
+        """Handle a connection whose backend has closed its side as lost."""
         self.connection_lost(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
@@ -152,7 +152,7 @@
         return self.endpoint.is_listed and self.address == self.endpoint.address
 
     def close(self) -> None:
-        """Close the connection at once.
+        """Close the connection immediately.
 
         An aborted transport ends the connection only in the next iteration of the event loop, when the next
         attempt of the request may already be written.  The socket is therefore shut down here, so that two
@@ -171,7 +171,7 @@
 
     def _check_buffer_budget(self) -> None:
         if self.owner.reply_buffer.is_exceeded():
-            # Large values that arrive on many connections at once must not exhaust this process's memory.
+            # Large values that arrive on many connections at the same time must not use up all memory.
             raise FrameError("incomplete replies exceed the memory limit for them")
 
     def _clear_buffer(self) -> None:
--- a/ingress/upstream/endpoint.py
+++ b/ingress/upstream/endpoint.py
@@ -1,4 +1,4 @@
-"""Endpoints of backends: the address, whether the backend is draining, and the idle connections."""
+"""Endpoints of backends: the address of each, whether the backend is draining, and the idle connections."""
 
 from __future__ import annotations
 
@@ -18,8 +18,8 @@
     idle_connections: list[BackendConnection] = field(
         default_factory=list
     )  # the most recently used one is the last
-    is_draining: bool = False  # True also once the backend was removed; no attempt is written to it then
-    is_listed: bool = True  # False once the backend was removed; listing its id again makes a new endpoint
+    is_draining: bool = False  # also True after the removal; no attempt is written while this is True
+    is_listed: bool = True  # False after the removal; if the backend is listed again, it gets a new endpoint
 
     def close_idle_connections(self) -> None:
         """Close the connections that are idle."""
@@ -28,7 +28,7 @@
 
 
 class EndpointTable:
-    """The listed backends, and an endpoint for each of those that an attempt was sent to.
+    """The listed backends, and an endpoint for each backend that an attempt was sent to.
 
     A long list takes little memory, since a backend without attempts is only an entry of the address book.
     """
@@ -38,10 +38,10 @@
         self.draining_ids: set[str] = set()  # ids of the draining backends
         self.contacted_endpoints: dict[
             str, UpstreamEndpoint
-        ] = {}  # by backend id, those that an attempt was sent to
+        ] = {}  # by backend id; only backends that an attempt was sent to
 
     def find_or_create(self, backend_id: str) -> UpstreamEndpoint | None:
-        """Return the backend's endpoint, and create it if there is none yet.
+        """Return the backend's endpoint, which is created if there is none yet.
 
         Return None if the backend is not listed or is draining.
         """
@@ -54,7 +54,7 @@
         return endpoint
 
     def replace_list(self, backends: tuple[Backend, ...], addresses: Mapping[str, Address]) -> None:
-        """Apply a full list: backends that are not in it are removed."""
+        """Apply a complete list: remove the backends that it does not contain."""
         for backend_id in [
             backend_id for backend_id in self.contacted_endpoints if backend_id not in addresses
         ]:
@@ -64,7 +64,7 @@
         ready = Readiness.READY  # a local variable, since the loop over a long list reads it for each entry
         backends_to_apply = [backend for backend in backends if backend.readiness is not ready]
         if len(addresses) < len(backends):
-            backends_to_apply = list(backends)  # some id has several entries, of which the last one applies
+            backends_to_apply = list(backends)  # an id has several entries; the last one applies
         self.update_entries(backends_to_apply, addresses)
         for backend_id in list(self.contacted_endpoints):
             self._refresh_endpoint(backend_id)
@@ -72,7 +72,7 @@
     def update_entries(
         self, backends: list[Backend] | tuple[Backend, ...], addresses: Mapping[str, Address]
     ) -> None:
-        """Apply changed entries; the cost grows with their number and not with the length of the list."""
+        """Apply changed entries; the cost depends on their number and not on the length of the list."""
         for backend in backends:
             self._update_entry(backend, addresses[backend.id])
 
--- a/ingress/upstream/idle.py
+++ b/ingress/upstream/idle.py
@@ -6,18 +6,18 @@
 from ingress.upstream.connection import BackendConnection
 from ingress.upstream.endpoint import EndpointTable, UpstreamEndpoint
 
-# Share of a backend's idle timeout after which a connection is closed here, before the backend closes it.
+# Share of a backend's idle timeout after which the pool closes a connection, before the backend does.
 IDLE_TIMEOUT_SHARE = 0.6
 MIN_IDLE_TIMEOUT_S = 0.1  # lower bound of the shortened timeout; most connections are reused sooner
-REUSE_DELAY_S = 0.010  # after a reply, before the next attempt: duplicate replies arrived up to 4 ms late
+REUSE_DELAY_S = 0.010  # time between a reply and the next attempt; duplicate replies arrived up to 4 ms late
 
 
 class IdleConnections:
-    """The idle connections of a pool's endpoints, which are reused or closed in time."""
+    """The idle connections of a pool's endpoints, each of which is reused or closed."""
 
-    def __init__(self, endpoints: EndpointTable, backend_idle_timeout_s: float) -> None:
-        """Keep idle connections for a share of `backend_idle_timeout_s`, after which backends close them."""
-        self.endpoints = endpoints
+    def __init__(self, endpoint_table: EndpointTable, backend_idle_timeout_s: float) -> None:
+        """Keep idle connections for IDLE_TIMEOUT_SHARE of the backends' own idle timeout."""
+        self.endpoint_table = endpoint_table
         self.idle_timeout_s = backend_idle_timeout_s * IDLE_TIMEOUT_SHARE
         self.reuse_delay_s = REUSE_DELAY_S
 
@@ -38,10 +38,10 @@
         return None
 
     def record_broken_connection(self, idle_s: float) -> None:
-        """Shorten the idle timeout, as a connection broke that had been idle for `idle_s` before its attempt.
+        """Shorten the idle timeout after a connection broke that had been idle for `idle_s`.
 
-        Some backends drop idle connections before their timeout, which shows only when the next command is
-        written.
+        Some backends drop idle connections before their idle timeout.  The pool learns of this only when it
+        writes the next command.
         """
         if idle_s >= MIN_IDLE_TIMEOUT_S:
             self.idle_timeout_s = min(
@@ -53,7 +53,7 @@
         longest_idle = min(
             (
                 endpoint.idle_connections[0]
-                for endpoint in self.endpoints.contacted_endpoints.values()
+                for endpoint in self.endpoint_table.contacted_endpoints.values()
                 if endpoint.idle_connections
             ),
             key=lambda connection: connection.idle_since,
@@ -65,13 +65,13 @@
         return True
 
     def close_expired(self, now: float) -> None:
-        """Close the connections whose idle timeout is over, before their backends do."""
+        """Close the connections whose idle timeout is over, before their backends close them."""
         min_idle_since = now - self.idle_timeout_s
-        for endpoint in self.endpoints.contacted_endpoints.values():
+        for endpoint in self.endpoint_table.contacted_endpoints.values():
             while endpoint.idle_connections and endpoint.idle_connections[0].idle_since < min_idle_since:
                 endpoint.idle_connections[0].close()
 
     def close_all(self) -> None:
         """Close all idle connections."""
-        for endpoint in self.endpoints.contacted_endpoints.values():
+        for endpoint in self.endpoint_table.contacted_endpoints.values():
             endpoint.close_idle_connections()
--- a/ingress/upstream/pool.py
+++ b/ingress/upstream/pool.py
@@ -21,7 +21,7 @@
 
 log = logging.getLogger(__name__)
 
-MAX_LOGGED_FAULTS = 50  # faults that are logged one by one; after these only every hundredth is logged
+MAX_LOGGED_FAULTS = 50  # faults that are all logged; of the later ones only every hundredth is
 SWEEP_INTERVAL_S = 1.0  # time between two checks for connections whose idle timeout is over
 # Time reserved for a command to reach its backend, whose zone may be more distant than that of the previous
 # attempt's backend.
@@ -73,10 +73,10 @@
     # Endpoints
 
     def update_endpoints(
-        self, is_full_list: bool, backends: tuple[Backend, ...], addresses: Mapping[str, Address]
+        self, is_complete_list: bool, backends: tuple[Backend, ...], addresses: Mapping[str, Address]
     ) -> None:
-        """Apply a full list of backends, or only the entries that changed."""
-        if is_full_list:
+        """Apply the complete list of backends, or only the entries that changed."""
+        if is_complete_list:
             self.endpoint_table.replace_list(backends, addresses)
         else:
             self.endpoint_table.update_entries(backends, addresses)
@@ -104,7 +104,7 @@
         self._abandon_attempt(attempt, Outcome.CANCELLED)
 
     def cancel_attempt_if_unsent(self, attempt: Attempt) -> None:
-        """End the attempt unless it was fully written; its client has left or has its answer.
+        """End an attempt that its client no longer needs, unless the attempt was fully written.
 
         An attempt that was fully written continues: closing its connection would not stop the backend's work.
         """
@@ -148,8 +148,8 @@
             self._finish_attempt(attempt, Outcome.SUPERSEDED)
 
     def _on_deadline(self, attempt: Attempt) -> None:
-        # An attempt that was not fully written was not executed: no connection was established, or took the
-        # whole command, in time.
+        # An attempt that was not fully written cannot have been executed: either no connection was
+        # established in time, or the connection did not accept the complete command in time.
         self._abandon_attempt(
             attempt, Outcome.TIMEOUT if attempt.is_fully_written() else Outcome.CONNECT_FAILED
         )
@@ -224,18 +224,18 @@
         self._finish_attempt(attempt, reply.outcome, reply)
 
     def on_malformed_reply(self, attempt: Attempt, error: FrameError) -> None:
-        """End the attempt as ERROR: it may have been executed, and its malformed value is not passed on."""
+        """End the attempt as ERROR, since it may have been executed; the malformed reply is not passed on."""
         self.fault_log.warning("upstream reply malformed backend=%s reason=%s", attempt.backend_id, error)
         self._finish_attempt(attempt, Outcome.ERROR)
 
     def on_connection_broken(self, connection: BackendConnection, attempt: Attempt) -> None:
-        """End the attempt as RESET if it was fully written and so may be executed, else as CONNECT_FAILED."""
+        """End the attempt as RESET, or as CONNECT_FAILED if it was not fully written and so not executed."""
         self._finish_attempt(
             attempt, Outcome.CONNECT_FAILED if connection.has_unsent_bytes else Outcome.RESET
         )
 
     def on_idle_connection_broken(self, idle_s: float) -> None:
-        """Shorten the time for which idle connections are kept."""
+        """Shorten the time for which idle connections are kept, if the connection had been idle."""
         self.idle_connections.record_broken_connection(idle_s)
 
     def on_connection_closed(self, connection: BackendConnection) -> None:
--- a/ingress/upstream/replies.py
+++ b/ingress/upstream/replies.py
@@ -1,4 +1,4 @@
-"""Replies of backends: find the end of a reply, interpret it, and read the load report that it may hold.
+"""Replies of backends: find the end of a reply, interpret it, and read the load report in it, if any.
 
 A reply is either an array of three items (a value, figures that are not used here, and a load report) or one
 error line: `-BUSY [load report]` or `-ERR failed [load report]`.
@@ -18,13 +18,13 @@
 MAX_VALUE_BYTES = 1024 * 1024  # some values are far larger than the 64 KiB limit of commands
 MAX_REPLY_BYTES = MAX_VALUE_BYTES + 8 * 1024  # the value, the figures and the load report together
 MAX_ERROR_LINE_BYTES = 1024
-MAX_LOGGED_BYTES = 80  # shown in the log of a reply that can't be interpreted
+MAX_LOGGED_BYTES = 80  # longest part of a malformed reply that is logged
 REPLY_ITEM_COUNT = 3
 KNOWN_LOAD_NAMES = frozenset(LOAD_REPORT_FIELDS.values())
 
 
 class MalformedReplyError(FrameError):
-    """A complete frame is no valid reply of a backend."""
+    """A complete frame is not a valid reply of a backend."""
 
 
 @dataclass(slots=True)
@@ -54,7 +54,7 @@
 def parse_reply(frame: bytes, parser: hiredis.Reader) -> BackendReply:
     """Interpret one complete reply with the parser of its connection.
 
-    Raise MalformedReplyError if the frame is no valid reply.
+    Raise MalformedReplyError if the frame is not a valid reply.
     """
     if frame[:1] == b"*":
         return _parse_value_reply(frame, parser)
@@ -80,8 +80,8 @@
 def read_load_report(text: bytes | None) -> dict[str, float]:
     """Return the known figures of a load report `name=figure,...` by the names of `LOAD_REPORT_FIELDS`.
 
-    An unknown name, and a figure that is negative, infinite or not a number, is left out without the others,
-    so that the decision module gets usable figures only.
+    Omit figures with an unknown name, and figures that are negative, infinite or not a number, so that the
+    decision module gets usable figures only.
     """
     report: dict[str, float] = {}
     if not text:
--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -14,11 +14,11 @@
 def test_slow_call_does_not_delay_other_calls() -> None:
     """Guard against calls that wait behind a slow call.
 
-    Answers on one connection come in the order of the calls, so the calls after a slow one use another
+    Replies on one connection come in the order of the calls, so the calls after a slow one use another
     connection.
     """
 
-    async def script(number: int, reader: Reader, writer: Writer) -> None:
+    async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
         while b"add 1 " not in await reader.readline():
             writer.write(b"ok 5\r\n")
         await reader.read()
@@ -61,9 +61,9 @@
 
 
 def test_silent_connection_is_replaced() -> None:
-    async def script(number: int, reader: Reader, writer: Writer) -> None:
+    async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
         while await reader.readline():
-            if number == 1:
+            if connection_index == 1:
                 writer.write(b"ok 5\r\n")
 
     async def body() -> None:
@@ -97,7 +97,7 @@
 
 @pytest.mark.parametrize("answers", [True, False])
 def test_calls_after_a_change_of_address_go_to_the_new_address_while_old_calls_finish(answers: bool) -> None:
-    """The old connection closes after its last answer, or when its calls have timed out."""
+    """The old connection closes after its last reply, or when its calls have timed out."""
     callers: list[CounterClientUnderTest] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
--- a/tests/counter/test_connection.py
+++ b/tests/counter/test_connection.py
@@ -1,4 +1,4 @@
-"""Tests of one connection to the counter: the encoding of calls, and the answers and their order."""
+"""Tests of one connection to the counter: the encoding of calls, and the replies and their order."""
 
 from __future__ import annotations
 
@@ -8,7 +8,7 @@
 from tests.support.counter import CounterClientUnderTest, scripted_counter
 from tests.support.peers import Reader, ScriptedServer, Writer, run_async_test, wait_until
 
-MALFORMED_ANSWERS = (
+MALFORMED_REPLIES = (
     b"what\r\n",
     b"ok\r\n",
     b"ok nan\r\n",
@@ -29,10 +29,10 @@
         (b"busy\r\n", Outcome.REJECTED, 0.0),
         (b"error\r\n", Outcome.REJECTED, 0.0),
         (b"ok 1.5e+03\r\n", Outcome.OK, 1500.0),
-        *((answer, Outcome.TIMEOUT, 0.0) for answer in MALFORMED_ANSWERS),
+        *((answer, Outcome.TIMEOUT, 0.0) for answer in MALFORMED_REPLIES),
     ],
 )
-def test_answer_is_reported_with_its_outcome_and_total(answer: bytes, outcome: Outcome, total: float) -> None:
+def test_reply_is_reported_with_its_outcome_and_total(answer: bytes, outcome: Outcome, total: float) -> None:
     async def body() -> None:
         async with scripted_counter(answer) as peer:
             caller = CounterClientUnderTest(peer.address)
@@ -42,11 +42,11 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("answer", MALFORMED_ANSWERS)
-def test_connection_with_a_malformed_answer_is_not_used_again(answer: bytes) -> None:
-    async def script(number: int, reader: Reader, writer: Writer) -> None:
+@pytest.mark.parametrize("answer", MALFORMED_REPLIES)
+def test_connection_with_a_malformed_reply_is_not_used_again(answer: bytes) -> None:
+    async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
         while await reader.readline():
-            writer.write(b"ok 5\r\n" if number else answer + b"ok 99\r\n")
+            writer.write(b"ok 5\r\n" if connection_index else answer + b"ok 99\r\n")
 
     async def body() -> None:
         async with ScriptedServer(script) as peer:
@@ -80,7 +80,7 @@
     run_async_test(body())
 
 
-def test_calls_are_pipelined_on_one_connection_and_matched_to_answers_in_order() -> None:
+def test_calls_are_pipelined_on_one_connection_and_matched_to_replies_in_order() -> None:
     callers: list[CounterClientUnderTest] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
@@ -98,7 +98,7 @@
             for name in (1, 2, 3):
                 caller.start_call(name)
             await caller.wait_for_reply(3)
-            assert [(r.name, r.outcome, r.total) for r in caller.replies] == [
+            assert [(reply.name, reply.outcome, reply.total) for reply in caller.replies] == [
                 (1, Outcome.OK, 1.0),
                 (2, Outcome.REJECTED, 0.0),
                 (3, Outcome.OK, 3.0),
@@ -109,7 +109,7 @@
     run_async_test(body())
 
 
-def test_late_answer_is_not_matched_to_the_next_call() -> None:
+def test_late_reply_is_not_matched_to_the_next_call() -> None:
     callers: list[CounterClientUnderTest] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
@@ -133,9 +133,9 @@
 
 
 def test_connection_closed_during_a_call_reports_a_timeout_and_is_replaced() -> None:
-    async def script(number: int, reader: Reader, writer: Writer) -> None:
+    async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
         await reader.readline()
-        if number == 1:
+        if connection_index == 1:
             writer.write(b"ok 5\r\n")
             await reader.read()
 
--- a/tests/discovery/test_backoff.py
+++ b/tests/discovery/test_backoff.py
@@ -1,6 +1,6 @@
 """Tests of the retry delays, which must let a change be received before it counts as notified.
 
-Time is simulated, and each kind of failure precedes the change.
+Time is simulated.  Before the change, the agent fails in one of several ways.
 """
 
 from __future__ import annotations
@@ -50,7 +50,7 @@
 
 
 class SimulatedAgent:
-    """An agent that fails every call until `failures_end_s`, loses one call, and then answers all calls.
+    """An agent that fails every call until `failures_end_s`, loses one call, and then responds to all calls.
 
     The simulated time advances only in `sleep`.
     """
@@ -100,7 +100,7 @@
 
     async def _lose_call(self, timeout_s: float) -> None:
         await self.sleep(timeout_s)
-        raise DiscoveryTimeoutError("no answer")
+        raise DiscoveryTimeoutError("no response")
 
 
 async def measure_change_delay(agent: SimulatedAgent, seed: int, is_pushed: bool) -> float:
@@ -165,7 +165,7 @@
 
 
 def test_call_rate_to_a_rejecting_service_falls_to_its_bound() -> None:
-    """At the maximum backoff the mean delay of a gateway is three quarters of the longest delay."""
+    """At the maximum backoff, the mean delay of a gateway is three quarters of the longest delay."""
 
     async def body() -> None:
         agents = [SimulatedAgent("rejected", SERVICE_TIME_LIMIT_S) for _ in range(SEED_COUNT)]
@@ -181,41 +181,50 @@
 
 
 def test_retries_of_a_fleet_rejected_at_the_same_time_spread_evenly() -> None:
-    """The calls per tenth of a second even out after several hundred gateways were rejected at once."""
+    """The calls per tenth of a second even out after several hundred gateways were rejected together."""
     gateway_count = 400
-    step_s = 0.1
+    interval_s = 0.1
     calls: Counter[int] = Counter()
     for rng in map(Random, range(gateway_count)):
         at_s = 0.0
         failure_count = 0
         while at_s < FAILURES_END_S:
-            calls[int(at_s / step_s)] += 1
+            calls[int(at_s / interval_s)] += 1
             at_s += rejected_backoff_delay(failure_count, rng)
             failure_count += 1
-    later = [calls[number] for number in range(int(5.0 / step_s), int(FAILURES_END_S / step_s))]
-    assert max(later) < 2.0 * sum(later) / len(later)
+    later_call_counts = [
+        calls[number] for number in range(int(5.0 / interval_s), int(FAILURES_END_S / interval_s))
+    ]
+    assert max(later_call_counts) < 2.0 * sum(later_call_counts) / len(later_call_counts)
 
 
 def count_values_by_quarter(values: tuple[float, ...], low: float, high: float) -> list[int]:
     """Return how many of the values lie in each quarter of a range."""
-    return [sum(part <= (value - low) / (high - low) * 4 < part + 1 for value in values) for part in range(4)]
+    return [
+        sum(quarter <= (value - low) / (high - low) * 4 < quarter + 1 for value in values)
+        for quarter in range(4)
+    ]
 
 
 def test_delays_after_rejection_spread_over_their_whole_range() -> None:
     """The first delay has full jitter; the delay has equal jitter once the backoff is at its maximum."""
-    longest = MAX_REJECTED_BACKOFF_S
-    assert longest / 2 < INITIAL_REJECTED_BACKOFF_S < longest
+    longest_delay_s = MAX_REJECTED_BACKOFF_S
+    assert longest_delay_s / 2 < INITIAL_REJECTED_BACKOFF_S < longest_delay_s
     delays = [[rejected_backoff_delay(n, rng) for n in (0, 3, 50, 10_000)] for rng in map(Random, range(400))]
-    ranges = ((0.0, INITIAL_REJECTED_BACKOFF_S), *[(longest / 2, longest)] * 3)
-    for row, (low, high) in zip(zip(*delays, strict=True), ranges, strict=True):
-        assert min(row) >= low
-        assert max(row) <= high
-        assert min(count_values_by_quarter(row, low, high)) > 60  # the mean is 100 in each quarter
-    assert max(max(row) for row in delays) <= longest
+    ranges = ((0.0, INITIAL_REJECTED_BACKOFF_S), *[(longest_delay_s / 2, longest_delay_s)] * 3)
+    for delays_for_count, (low, high) in zip(zip(*delays, strict=True), ranges, strict=True):
+        assert min(delays_for_count) >= low
+        assert max(delays_for_count) <= high
+        assert (
+            min(count_values_by_quarter(delays_for_count, low, high)) > 60
+        )  # the mean is 100 in each quarter
+    assert max(max(delays_for_count) for delays_for_count in delays) <= longest_delay_s
 
 
 def test_delays_after_other_failures_stay_within_the_maximum_backoff() -> None:
-    longest = POLLED_TIMING.max_backoff_s
-    delays = [jittered_delay(n, longest, rng) for rng in map(Random, range(400)) for n in (0, 3, 50, 10_000)]
+    longest_delay_s = POLLED_TIMING.max_backoff_s
+    delays = [
+        jittered_delay(n, longest_delay_s, rng) for rng in map(Random, range(400)) for n in (0, 3, 50, 10_000)
+    ]
     assert min(delays) >= 0.0
-    assert max(delays) <= longest
+    assert max(delays) <= longest_delay_s
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -15,7 +15,7 @@
 from ingress.discovery import watch as watch_module
 from ingress.discovery.client import DiscoveryClient
 from ingress.discovery.endpoint_list import (
-    ENTRIES_PER_SLICE,
+    ENTRIES_PER_BATCH,
     MAX_LOGGED_ENTRIES,
     EndpointList,
     EndpointListBuilder,
@@ -43,9 +43,9 @@
 )
 
 
-def full_list_body(count: int, **changes: Any) -> bytes:
-    rows = [make_endpoint_entry(LOCAL_ADDRESS, f"s-{number:08x}") | changes for number in range(count)]
-    return encode_endpoint_list(41, True, *rows)
+def encode_complete_list(count: int, **changes: Any) -> bytes:
+    entries = [make_endpoint_entry(LOCAL_ADDRESS, f"s-{number:08x}") | changes for number in range(count)]
+    return encode_endpoint_list(41, True, *entries)
 
 
 def decode(body: bytes | bytearray) -> EndpointList:
@@ -66,37 +66,48 @@
 def test_list_is_decoded_whatever_its_whitespace_and_key_order(
     write: Callable[[dict[str, Any]], str], kind: type[bytes] | type[bytearray]
 ) -> None:
-    rows = [
+    entries = [
         make_endpoint_entry(LOCAL_ADDRESS, started_ms=1_700_000_000_500) | {"other": [1]},
         make_endpoint_entry(LOCAL_ADDRESS, "s2", "draining"),
     ]
-    source = {"version": 43, "full": False, "servers": rows}
-    found = decode(kind(write(source).encode()))
-    assert (found.version, found.is_full) == (43, False)
-    assert [(b.id, b.zone, b.kind, b.cell, b.readiness, b.weight, b.started) for b in found.backends] == [
+    source = {"version": 43, "full": False, "servers": entries}
+    endpoint_list = decode(kind(write(source).encode()))
+    assert (endpoint_list.version, endpoint_list.is_complete) == (43, False)
+    assert [
+        (
+            backend.id,
+            backend.zone,
+            backend.kind,
+            backend.cell,
+            backend.readiness,
+            backend.weight,
+            backend.started,
+        )
+        for backend in endpoint_list.backends
+    ] == [
         ("s1", "a", "m", 1, Readiness.READY, 1.0, 1_700_000_000.5),
         ("s2", "a", "m", 1, Readiness.DRAINING, 1.0, 0.0),
     ]
-    assert dict(found.addresses) == {"s1": LOCAL_ADDRESS, "s2": LOCAL_ADDRESS}
+    assert dict(endpoint_list.addresses) == {"s1": LOCAL_ADDRESS, "s2": LOCAL_ADDRESS}
 
 
 def test_optional_fields_of_an_entry_have_defaults() -> None:
-    found = decode(
+    endpoint_list = decode(
         b'{"servers":[{"id":"s1","addr":"127.0.0.1:6379","state":"ready"},'
         b'{"id":"s2","addr":"127.0.0.1:6379","state":"gone","weight":2,"started_ms":null}],"version":4}'
     )
-    [first, second] = found.backends
+    [first, second] = endpoint_list.backends
     assert (first.zone, first.kind, first.cell, first.weight, first.started) == ("", "", 0, 1.0, 0.0)
     assert (second.readiness, second.weight, second.started) == (Readiness.REMOVED, 2.0, 0.0)
     assert isinstance(second.weight, float)
-    assert not found.is_full
+    assert not endpoint_list.is_complete
 
 
 @pytest.mark.parametrize("change", MALFORMED_ENTRY_FIELDS)
-def test_malformed_entry_of_an_answer_is_skipped_and_logged(
+def test_malformed_entry_of_a_response_is_skipped_and_logged(
     change: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
-    rows = [
+    entries = [
         make_endpoint_entry(LOCAL_ADDRESS) | change,
         make_endpoint_entry(LOCAL_ADDRESS, "s2"),
         5,
@@ -105,18 +116,18 @@
         "s3",
     ]
     with caplog.at_level(logging.WARNING):
-        found = decode(json.dumps({"version": 1, "full": True, "servers": rows}).encode())
-    assert [b.id for b in found.backends] == ["s2"]
-    assert list(found.addresses) == ["s2"]
+        endpoint_list = decode(json.dumps({"version": 1, "full": True, "servers": entries}).encode())
+    assert [backend.id for backend in endpoint_list.backends] == ["s2"]
+    assert list(endpoint_list.addresses) == ["s2"]
     assert len(caplog.records) == 5
     assert all(len(record.getMessage()) < 400 for record in caplog.records)
 
 
 @pytest.mark.parametrize("key", ["id", "addr", "state"])
 def test_entry_without_a_required_field_is_skipped(key: str) -> None:
-    row = make_endpoint_entry(LOCAL_ADDRESS)
-    del row[key]
-    assert not decode(json.dumps({"version": 1, "servers": [row]}).encode()).backends
+    entry = make_endpoint_entry(LOCAL_ADDRESS)
+    del entry[key]
+    assert not decode(json.dumps({"version": 1, "servers": [entry]}).encode()).backends
 
 
 @pytest.mark.parametrize(
@@ -140,36 +151,36 @@
         b'{"version":1,"full":"no","servers":[]}',
     ],
 )
-def test_invalid_answer_raises_an_error(body: bytes) -> None:
+def test_invalid_response_raises_an_error(body: bytes) -> None:
     with pytest.raises(InvalidEndpointListError):
         decode(body)
 
 
 def test_log_lines_of_malformed_entries_are_limited(caplog: pytest.LogCaptureFixture) -> None:
     with caplog.at_level(logging.WARNING):
-        found = decode(full_list_body(2_000, addr="nowhere"))
-    assert not found.backends
+        endpoint_list = decode(encode_complete_list(2_000, addr="nowhere"))
+    assert not endpoint_list.backends
     assert len(caplog.records) == MAX_LOGGED_ENTRIES + 1
     assert "entries skipped version=41 count=2000" in caplog.records[-1].getMessage()
 
 
 def test_equal_values_of_entries_share_one_object() -> None:
-    rows = decode(full_list_body(600, zone="hall-a-1", kind="m-2")).backends
+    entries = decode(encode_complete_list(600, zone="hall-a-1", kind="m-2")).backends
     for name in ("zone", "kind", "weight", "started"):
-        assert len({id(getattr(row, name)) for row in rows}) == 1
+        assert len({id(getattr(entry, name)) for entry in entries}) == 1
 
 
 def test_event_loop_runs_while_a_long_list_is_decoded() -> None:
     async def body() -> None:
         loop_iterations = 0
-        slice_count = 10
-        body_bytes = full_list_body(slice_count * ENTRIES_PER_SLICE)
-        decode_task = asyncio.create_task(decode_endpoint_list(body_bytes))
+        batch_count = 10
+        encoded_list = encode_complete_list(batch_count * ENTRIES_PER_BATCH)
+        decode_task = asyncio.create_task(decode_endpoint_list(encoded_list))
         while not decode_task.done():
             await asyncio.sleep(0)
             loop_iterations += 1
-        assert len(decode_task.result().backends) == slice_count * ENTRIES_PER_SLICE
-        assert loop_iterations >= slice_count
+        assert len(decode_task.result().backends) == batch_count * ENTRIES_PER_BATCH
+        assert loop_iterations >= batch_count
 
     run_async_test(body())
 
@@ -188,7 +199,7 @@
         self.call_count += 1
         if self.call_count > 1:
             await asyncio.Event().wait()
-        return full_list_body(4 * ENTRIES_PER_SLICE)
+        return encode_complete_list(4 * ENTRIES_PER_BATCH)
 
 
 def test_watch_cancelled_while_decoding_a_list_applies_nothing(monkeypatch: pytest.MonkeyPatch) -> None:
@@ -196,25 +207,28 @@
 
     async def body() -> None:
         updates: list[EndpointList] = []
-        decoded_slice_sizes: list[int] = []
+        decoded_batch_sizes: list[int] = []
         decoding = asyncio.Event()
         add = EndpointListBuilder.add
 
         def add_and_count(
-            builder: EndpointListBuilder, rows: list[Any], decode: Callable[[Any], Any]
+            builder: EndpointListBuilder, entries: list[Any], decode: Callable[[Any], Any]
         ) -> None:
-            decoded_slice_sizes.append(len(rows))
+            decoded_batch_sizes.append(len(entries))
             decoding.set()
-            add(builder, rows, decode)
+            add(builder, entries, decode)
 
         monkeypatch.setattr(EndpointListBuilder, "add", add_and_count)
         agent = LongListAgent()
         watch = EndpointWatch(
-            LOCAL_ADDRESS, lambda _, found: updates.append(found), Random(1), open_client=agent.open_client
+            LOCAL_ADDRESS,
+            lambda _, endpoint_list: updates.append(endpoint_list),
+            Random(1),
+            open_client=agent.open_client,
         )
         async with running_watch(watch):
-            await decoding.wait()  # the event loop resumes this test between two slices
-            assert 0 < len(decoded_slice_sizes) < 4
+            await decoding.wait()  # the event loop resumes this test between two batches
+            assert 0 < len(decoded_batch_sizes) < 4
         assert not updates
         assert watch.version is None
         assert agent.call_count == 1
@@ -226,7 +240,10 @@
     """Return the first list that a watch on this agent reports."""
     updates: list[EndpointList] = []
     watch = EndpointWatch(
-        peer.address, lambda _, found: updates.append(found), Random(1), max_body_bytes=max_body_bytes
+        peer.address,
+        lambda _, endpoint_list: updates.append(endpoint_list),
+        Random(1),
+        max_body_bytes=max_body_bytes,
     )
     async with running_watch(watch):
         await wait_until(lambda: updates)
@@ -234,18 +251,20 @@
 
 
 def test_list_of_sixty_thousand_backends_is_accepted() -> None:
-    body_bytes = full_list_body(60_000)
-    assert len(body_bytes) > 4 * 1024 * 1024
+    encoded_list = encode_complete_list(60_000)
+    assert len(encoded_list) > 4 * 1024 * 1024
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await reader.readuntil(b"\r\n\r\n")
-        writer.write(encode_http_response(body_bytes))
+        writer.write(encode_http_response(encoded_list))
         await reader.read()
 
     async def body() -> None:
         async with ScriptedServer(script) as peer:
-            found = await receive_first_list(peer, compute_max_body_bytes(make_config().max_buffered_bytes))
-        assert len(found.backends) == len(found.addresses) == 60_000
+            endpoint_list = await receive_first_list(
+                peer, compute_max_body_bytes(make_config().max_buffered_bytes)
+            )
+        assert len(endpoint_list.backends) == len(endpoint_list.addresses) == 60_000
 
     run_async_test(body())
 
@@ -262,7 +281,7 @@
     async def script(number: int, reader: Reader, writer: Writer) -> None:
         while await reader.readuntil(b"\r\n\r\n"):
             if number:
-                writer.write(encode_http_response(full_list_body(1)))
+                writer.write(encode_http_response(encode_complete_list(1)))
                 continue
             writer.write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n")
             while True:
@@ -271,8 +290,10 @@
 
     async def body() -> None:
         async with ScriptedServer(script) as peer:
-            found = await asyncio.wait_for(receive_first_list(peer, 0), 2.0)  # before the call times out
-        assert len(found.backends) == 1
+            endpoint_list = await asyncio.wait_for(
+                receive_first_list(peer, 0), 2.0
+            )  # before the call times out
+        assert len(endpoint_list.backends) == 1
 
     with caplog.at_level(logging.WARNING):
         run_async_test(body())
--- a/tests/discovery/test_http_client.py
+++ b/tests/discovery/test_http_client.py
@@ -26,14 +26,16 @@
     return await reader.readuntil(b"\r\n\r\n")
 
 
-def make_agent(*answers: bytes) -> ScriptedServer:
-    """Make an agent that sends the answers in turn, one for each call, and repeats the last one."""
-    remaining_answers = list(answers)
+def make_agent(*responses: bytes) -> ScriptedServer:
+    """Make an agent that sends the responses in order, one for each call, and repeats the last one."""
+    remaining_responses = list(responses)
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while True:
             await read_request_head(reader)
-            writer.write(remaining_answers.pop(0) if len(remaining_answers) > 1 else remaining_answers[0])
+            writer.write(
+                remaining_responses.pop(0) if len(remaining_responses) > 1 else remaining_responses[0]
+            )
 
     return ScriptedServer(script)
 
@@ -88,7 +90,7 @@
     ],
 )
 @pytest.mark.parametrize("piece", [1, 7, 10_000])
-def test_answer_may_arrive_in_pieces(complete: bytes, piece: int) -> None:
+def test_response_may_arrive_in_pieces(complete: bytes, piece: int) -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             while True:
@@ -106,7 +108,7 @@
     run_async_test(body())
 
 
-def test_answer_without_a_length_ends_with_its_connection() -> None:
+def test_response_without_a_length_ends_with_its_connection() -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             await read_request_head(reader)
@@ -129,7 +131,7 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n" + BODY[:4],
     ],
 )
-def test_reset_does_not_end_an_answer(begun: bytes) -> None:
+def test_reset_does_not_end_a_response(begun: bytes) -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             await read_request_head(reader)
@@ -156,7 +158,7 @@
         b"",
     ],
 )
-def test_truncated_or_malformed_answer_raises_unavailable(broken: bytes) -> None:
+def test_truncated_or_malformed_response_raises_unavailable(broken: bytes) -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             await read_request_head(reader)
@@ -178,7 +180,7 @@
         b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * (MAX_BODY_BYTES + 1),
     ],
 )
-def test_answer_beyond_the_size_limit_is_dropped(too_long: bytes) -> None:
+def test_response_beyond_the_size_limit_is_dropped(too_long: bytes) -> None:
     async def body() -> None:
         async with make_agent(too_long, encode_http_response(BODY)) as peer:
             client = HttpDiscoveryClient(peer.address)
@@ -206,10 +208,10 @@
     run_async_test(body())
 
 
-def test_rejected_call_does_not_wait_for_the_rest_of_its_answer() -> None:
+def test_rejected_call_does_not_wait_for_the_rest_of_its_response() -> None:
     async def body() -> None:
-        refusal = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 10\r\n\r\nno"
-        async with make_agent(refusal, encode_http_response(BODY)) as peer:
+        rejection = b"HTTP/1.1 503 Service Unavailable\r\nContent-Length: 10\r\n\r\nno"
+        async with make_agent(rejection, encode_http_response(BODY)) as peer:
             client = HttpDiscoveryClient(peer.address)
             with pytest.raises(DiscoveryRejectedError):
                 await fetch(client)
@@ -223,13 +225,13 @@
 @pytest.mark.parametrize("with_reset", [False, True])
 def test_kept_connection_closed_by_the_agent_is_replaced(with_reset: bool) -> None:
     async def body() -> None:
-        answered = asyncio.Event()
+        response_read = asyncio.Event()
 
-        async def script(number: int, reader: Reader, writer: Writer) -> None:
+        async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
             await read_request_head(reader)
             writer.write(encode_http_response(BODY))
-            if number == 0:
-                await answered.wait()
+            if connection_index == 0:
+                await response_read.wait()
                 if with_reset:
                     reset_connection(writer)
             else:
@@ -238,7 +240,7 @@
         async with ScriptedServer(script) as peer:
             client = HttpDiscoveryClient(peer.address)
             assert await fetch(client) == BODY
-            answered.set()
+            response_read.set()
             await wait_until(lambda: peer.ended_connection_count == 1)
             assert await fetch(client) == BODY
             assert peer.connection_count == 2
@@ -249,9 +251,9 @@
 
 def test_kept_connection_that_ends_during_a_call_is_replaced_once() -> None:
     async def body() -> None:
-        async def script(number: int, reader: Reader, writer: Writer) -> None:
+        async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
             await read_request_head(reader)
-            if number == 0:
+            if connection_index == 0:
                 writer.write(encode_http_response(BODY))
                 await read_request_head(reader)
 
@@ -265,7 +267,7 @@
     run_async_test(body())
 
 
-def test_data_after_an_answer_is_not_taken_for_the_next_answer() -> None:
+def test_data_after_a_response_is_not_taken_for_the_next_response() -> None:
     async def body() -> None:
         async with make_agent(
             encode_http_response(BODY) + encode_http_response(b"noise"), encode_http_response(b"second")
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -1,4 +1,4 @@
-"""Tests of the watch: full lists, changes, restarted versions, and agents that fail."""
+"""Tests of the watch: complete lists, changes, agents that restart their versions, and agents that fail."""
 
 from __future__ import annotations
 
@@ -33,7 +33,7 @@
     wait_until,
 )
 
-FULL_LIST_TARGET = "/api/targets"
+COMPLETE_LIST_TARGET = "/api/targets"
 LONG_POLL_TARGET = f"/api/targets?after=%d&wait_ms={WATCH_WAIT_MS}"
 RETRY_TARGET = f"/api/targets?after=%d&wait_ms={RETRY_WAIT_MS}"
 SHORT_TIMEOUTS = WatchTiming(watch_grace_s=0.05, poll_timeout_s=0.05, max_backoff_s=1.0, watch_wait_ms=10)
@@ -47,7 +47,7 @@
     async with agent.server:
         endpoint_watch = EndpointWatch(
             agent.server.address,
-            lambda kind, found: updates.append((kind, found)),
+            lambda kind, update: updates.append((kind, update)),
             Random(1),
             version,
             timing,
@@ -57,7 +57,7 @@
     return updates
 
 
-def test_full_list_is_followed_by_changes() -> None:
+def test_complete_list_is_followed_by_changes() -> None:
     async def body() -> None:
         agent = ScriptedAgent(
             encode_endpoint_list(
@@ -72,7 +72,7 @@
         )
         updates = await collect_updates(agent, 5)
         assert agent.requested_targets == [
-            FULL_LIST_TARGET,
+            COMPLETE_LIST_TARGET,
             LONG_POLL_TARGET % 41,
             LONG_POLL_TARGET % 43,
             LONG_POLL_TARGET % 44,
@@ -83,14 +83,14 @@
             EndpointUpdateKind.UPDATE,
             EndpointUpdateKind.REPLACE,
         ]
-        assert [b.started for b in updates[0][1].backends] == [0.0, 1_700_000_000.5]
+        assert [backend.started for backend in updates[0][1].backends] == [0.0, 1_700_000_000.5]
         assert updates[1][1].backends[0].readiness is Readiness.DRAINING
         assert updates[0][1].addresses["s2"] == LOCAL_ADDRESS
 
     run_async_test(body())
 
 
-def test_full_list_is_fetched_after_the_agent_restarts_its_versions() -> None:
+def test_complete_list_is_fetched_after_the_agent_restarts_its_versions() -> None:
     async def body() -> None:
         agent = ScriptedAgent(
             encode_endpoint_list(41, True, make_endpoint_entry(LOCAL_ADDRESS)),
@@ -99,12 +99,12 @@
         )
         updates = await collect_updates(agent, 4)
         assert agent.requested_targets == [
-            FULL_LIST_TARGET,
+            COMPLETE_LIST_TARGET,
             LONG_POLL_TARGET % 41,
-            FULL_LIST_TARGET,
+            COMPLETE_LIST_TARGET,
             LONG_POLL_TARGET % 3,
         ]
-        assert [[b.id for b in found.backends] for _, found in updates] == [["s1"], ["s9"]]
+        assert [[backend.id for backend in update.backends] for _, update in updates] == [["s1"], ["s9"]]
 
     run_async_test(body())
 
@@ -119,12 +119,12 @@
             encode_endpoint_list(42, True, make_endpoint_entry(LOCAL_ADDRESS)),
         )
         updates = await collect_updates(agent, 5)
-        assert agent.requested_targets[:2] == [FULL_LIST_TARGET, LONG_POLL_TARGET % 41]
+        assert agent.requested_targets[:2] == [COMPLETE_LIST_TARGET, LONG_POLL_TARGET % 41]
         assert agent.requested_targets[-1] == LONG_POLL_TARGET % 42
-        fetches_full_list = FULL_LIST_TARGET in agent.requested_targets[2:]
-        # Only an invalid answer, and not a missing one, suggests that the held list is wrong.
-        assert fetches_full_list is bool(broken)
-        assert [found.version for _, found in updates] == [41, 42]
+        fetches_complete_list = COMPLETE_LIST_TARGET in agent.requested_targets[2:]
+        # Only an invalid response, and not a missing one, suggests that the held list is wrong.
+        assert fetches_complete_list is bool(broken)
+        assert [update.version for _, update in updates] == [41, 42]
 
     run_async_test(body())
 
@@ -138,7 +138,7 @@
             encode_endpoint_list(2, True, make_endpoint_entry(LOCAL_ADDRESS)),
         )
         updates = await collect_updates(agent, 5, timing=SHORT_TIMEOUTS)
-        assert [found.version for _, found in updates] == [1, 2]
+        assert [update.version for _, update in updates] == [1, 2]
 
     run_async_test(body())
 
@@ -155,7 +155,7 @@
             encode_endpoint_list(2, False, make_endpoint_entry(LOCAL_ADDRESS, "s2")),
         )
         updates = await collect_updates(agent, 4, timing=timing)
-        assert [found.version for _, found in updates] == [1, 2]
+        assert [update.version for _, update in updates] == [1, 2]
         assert "after=1&" in agent.requested_targets[2]
         assert agent.server.connection_count == 2
 
@@ -178,7 +178,7 @@
             encode_endpoint_list(2, False, make_endpoint_entry(LOCAL_ADDRESS)),
         )
         updates = await asyncio.wait_for(collect_updates(agent, 7, timing=timing), 2.0)
-        assert [found.version for _, found in updates] == [1, 2]
+        assert [update.version for _, update in updates] == [1, 2]
 
     run_async_test(body())
 
@@ -186,9 +186,9 @@
 def test_endless_list_is_dropped(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(watch_module, "DEFAULT_MAX_BODY_BYTES", 100_000)
 
-    async def endless(number: int, reader: Reader, writer: Writer) -> None:
+    async def send_endless_list(connection_index: int, reader: Reader, writer: Writer) -> None:
         while await reader.readuntil(b"\r\n\r\n"):
-            if number:
+            if connection_index:
                 writer.write(
                     encode_http_response(encode_endpoint_list(1, True, make_endpoint_entry(LOCAL_ADDRESS)))
                 )
@@ -200,8 +200,8 @@
 
     async def body() -> None:
         updates: list[EndpointList] = []
-        async with ScriptedServer(endless) as peer:
-            watch = EndpointWatch(peer.address, lambda _, found: updates.append(found), Random(1))
+        async with ScriptedServer(send_endless_list) as peer:
+            watch = EndpointWatch(peer.address, lambda _, update: updates.append(update), Random(1))
             async with running_watch(watch):
                 await asyncio.wait_for(wait_until(lambda: updates), 2.0)  # before the call times out
 
@@ -215,7 +215,7 @@
             encode_endpoint_list(2, True, make_endpoint_entry(LOCAL_ADDRESS)),
         )
 
-        def raise_error(kind: EndpointUpdateKind, found: EndpointList) -> None:
+        def raise_error(kind: EndpointUpdateKind, update: EndpointList) -> None:
             raise RuntimeError("a fault")
 
         async with (
@@ -232,15 +232,15 @@
 def test_malformed_entry_of_a_parsed_list_is_skipped_and_logged(
     change: dict[str, Any], caplog: pytest.LogCaptureFixture
 ) -> None:
-    rows = [make_endpoint_entry(LOCAL_ADDRESS) | change, make_endpoint_entry(LOCAL_ADDRESS, "s2"), 5]
+    entries = [make_endpoint_entry(LOCAL_ADDRESS) | change, make_endpoint_entry(LOCAL_ADDRESS, "s2"), 5]
     with caplog.at_level(logging.WARNING):
-        found = parse_endpoint_list({"version": 1, "full": True, "servers": rows})
-    assert [b.id for b in found.backends] == ["s2"]
+        update = parse_endpoint_list({"version": 1, "full": True, "servers": entries})
+    assert [backend.id for backend in update.backends] == ["s2"]
     assert len(caplog.records) == 2
 
 
-def test_rejected_call_is_not_followed_by_a_call_for_the_full_list() -> None:
-    """Forty full lists a second for a fleet of rejected gateways kept discovery permanently overloaded."""
+def test_rejected_call_is_not_followed_by_a_call_for_the_complete_list() -> None:
+    """Forty complete lists per second for a fleet of rejected gateways kept discovery overloaded forever."""
 
     async def body() -> None:
         agent = ScriptedAgent(
@@ -250,12 +250,12 @@
         )
         updates = await collect_updates(agent, 4)
         assert agent.requested_targets == [
-            FULL_LIST_TARGET,
+            COMPLETE_LIST_TARGET,
             LONG_POLL_TARGET % 41,
             RETRY_TARGET % 41,
             LONG_POLL_TARGET % 42,
         ]
-        assert [found.version for _, found in updates] == [41, 42]
+        assert [update.version for _, update in updates] == [41, 42]
 
     run_async_test(body())
 
--- a/tests/network/test_rate_limited_log.py
+++ b/tests/network/test_rate_limited_log.py
@@ -10,7 +10,7 @@
 
 
 def test_first_faults_and_every_nth_later_one_are_logged(caplog: pytest.LogCaptureFixture) -> None:
-    log = RateLimitedLog(logging.getLogger("test"), first=2, every=5)
+    log = RateLimitedLog(logging.getLogger("test"), first_count=2, sample_interval=5)
     with caplog.at_level(logging.WARNING):
         for number in range(1, 12):
             log.warning("fault number=%d", number)
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -1,4 +1,4 @@
-"""Tests of the command of an attempt, in which the remaining time replaces the client's deadline."""
+"""Tests of an attempt's command, in which the remaining time replaces the deadline set by the client."""
 
 from __future__ import annotations
 
@@ -12,8 +12,8 @@
 def test_command_holds_remaining_time_of_at_least_one_millisecond(now: float, time_left_ms: int) -> None:
     before, _, after = COMMAND_PARTS
     attempt = Attempt("r", 0, "s0", 100.0, 101.5, COMMAND_PARTS)
-    fields = b"c=read,d=%d,t=basic,x=9" % time_left_ms
-    assert attempt.encode_command(now) == b"%b$%d\r\n%b%b" % (before, len(fields), fields, after)
+    field_list = b"c=read,d=%d,t=basic,x=9" % time_left_ms
+    assert attempt.encode_command(now) == b"%b$%d\r\n%b%b" % (before, len(field_list), field_list, after)
 
 
 def test_attempt_without_connection_is_not_fully_written() -> None:
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -1,4 +1,4 @@
-"""Tests of a connection: outcomes of replies, malformed replies, and partly written commands."""
+"""Tests of a connection to a backend: replies, malformed replies, and partly written commands."""
 
 from __future__ import annotations
 
@@ -68,16 +68,16 @@
     async def body() -> None:
         async with scripted_backend() as peer:
             pool = PoolUnderTest(peer.address)
-            data = b"$%d\r\n%b\r\n" % (len(BINARY_VALUE), BINARY_VALUE)
+            argument = b"$%d\r\n%b\r\n" % (len(BINARY_VALUE), BINARY_VALUE)
             pool.start_attempt(
                 timeout_s=1.0,
-                parts=(COMMAND_PARTS[0].replace(b"*4", b"*5"), COMMAND_PARTS[1], b"\r\n" + data),
+                parts=(COMMAND_PARTS[0].replace(b"*4", b"*5"), COMMAND_PARTS[1], b"\r\n" + argument),
             )
             assert await pool.wait_for_result() == (Outcome.OK, b"r1")
-            [words] = peer.received_commands
-            fields = words[3].split(b",")
-            assert words[:3] == [b"API.READ", b"c7", b"r1"]
-            assert words[4] == BINARY_VALUE
+            [arguments] = peer.received_commands
+            fields = arguments[3].split(b",")
+            assert arguments[:3] == [b"API.READ", b"c7", b"r1"]
+            assert arguments[4] == BINARY_VALUE
             assert fields[0] == b"c=read"
             assert fields[2:] == [b"t=basic", b"x=9"]
             assert fields[1].startswith(b"d=")
@@ -87,7 +87,7 @@
 
 
 @pytest.mark.parametrize("partly", [b"", b"*3\r\n$5\r\nhel"])
-def test_connection_closed_before_the_whole_reply_is_a_reset(partly: bytes) -> None:
+def test_connection_closed_before_the_complete_reply_is_a_reset(partly: bytes) -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
         writer.write(partly)
@@ -114,9 +114,9 @@
             received_after_close: list[bytes] = []
 
             def record_end(
-                attempt: Attempt, outcome: Outcome, answer: bytes | None, load: dict[str, float]
+                attempt: Attempt, outcome: Outcome, value: bytes | None, load_report: dict[str, float]
             ) -> None:
-                pool.record_result(attempt, outcome, answer, load)
+                pool.record_result(attempt, outcome, value, load_report)
                 received_after_close.append(peer.recv(100))
 
             pool.pool.on_attempt_end = record_end
@@ -144,8 +144,8 @@
     run_async_test(body())
 
 
-class HeldReuseDelay:
-    """The running event loop, except that calls after the reuse delay wait for `run_held_calls`."""
+class ReuseDelayHoldingLoop:
+    """The running event loop, except that calls scheduled after the reuse delay run in `run_held_calls`."""
 
     def __init__(self, reuse_delay_s: float) -> None:
         self.loop = asyncio.get_running_loop()
@@ -171,52 +171,52 @@
 def test_extra_bytes_in_a_later_read_are_not_taken_for_the_next_reply(
     monkeypatch: pytest.MonkeyPatch,
 ) -> None:
-    """A connection is not reused before its reuse delay is over, even if the next attempt starts at once.
+    """A connection is not reused before its reuse delay is over, even if the next attempt starts earlier.
 
     The test ends the delay only after the extra bytes were read, however late the backend sends them.
     """
-    first_ended = asyncio.Event()
-    noise_read = asyncio.Event()
+    first_attempt_ended = asyncio.Event()
+    extra_bytes_read = asyncio.Event()
     data_received = BackendConnection.data_received
 
-    def receive_and_record_noise(connection: BackendConnection, data: bytes) -> None:
+    def receive_and_record_extra_bytes(connection: BackendConnection, data: bytes) -> None:
         data_received(connection, data)
         if b"noise" in data:
-            noise_read.set()
+            extra_bytes_read.set()
 
-    async def script(number: int, reader: Reader, writer: Writer) -> None:
+    async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
         while True:
             await read_command(reader)
-            writer.write(encode_value_reply(b"%d" % number))
-            if number == 0:
-                await first_ended.wait()
+            writer.write(encode_value_reply(b"%d" % connection_index))
+            if connection_index == 0:
+                await first_attempt_ended.wait()
                 writer.write(encode_value_reply(b"noise"))
 
     async def body() -> None:
         async with ScriptedServer(script) as peer:
             pool = PoolUnderTest(peer.address)
             reuse_delay_s = pool.pool.idle_connections.reuse_delay_s
-            held_delay = HeldReuseDelay(reuse_delay_s)
+            holding_loop = ReuseDelayHoldingLoop(reuse_delay_s)
             now = pool.pool.clock()
             pool.pool.clock = lambda: now + pool.clock_offset_s
-            pool.pool.loop = held_delay  # type: ignore[assignment]
+            pool.pool.loop = holding_loop  # type: ignore[assignment]
             record_result = pool.pool.on_attempt_end
 
             def record_end(*args: Any) -> None:
                 record_result(*args)
                 if len(pool.results) == 1:
                     pool.start_attempt()
-                    first_ended.set()
+                    first_attempt_ended.set()
 
             pool.pool.on_attempt_end = record_end
             pool.start_attempt()
             assert await pool.wait_for_result() == (Outcome.OK, b"0")
-            await noise_read.wait()
+            await extra_bytes_read.wait()
             pool.clock_offset_s = 2 * reuse_delay_s
-            held_delay.run_held_calls()
+            holding_loop.run_held_calls()
             assert await pool.wait_for_result(2) == (Outcome.OK, b"1")
 
-    monkeypatch.setattr(BackendConnection, "data_received", receive_and_record_noise)
+    monkeypatch.setattr(BackendConnection, "data_received", receive_and_record_extra_bytes)
     run_async_test(body())
 
 
@@ -286,7 +286,7 @@
 
 @pytest.mark.parametrize("how", ["reset", "time is up", "client left"])
 def test_partly_written_attempt_counts_as_not_executed(how: str) -> None:
-    """The connection takes only part of a large command before it breaks, times out or loses its client."""
+    """The connection accepts only part of a large command before the attempt ends in one of three ways."""
 
     async def body() -> None:
         loop = asyncio.get_running_loop()
@@ -317,12 +317,12 @@
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         assert len((await read_command(reader))[4]) == 8_000_000
         command_read.set()
-        await may_answer.wait()
+        await reply_allowed.wait()
         writer.write(encode_value_reply(b"done"))
         await reader.read()
 
     command_read = asyncio.Event()
-    may_answer = asyncio.Event()
+    reply_allowed = asyncio.Event()
 
     async def body() -> None:
         async with ScriptedServer(script) as peer:
@@ -334,7 +334,7 @@
             await wait_until(attempt.is_fully_written)
             pool.pool.cancel_attempt_if_unsent(attempt)
             assert not attempt.has_ended
-            may_answer.set()
+            reply_allowed.set()
             assert await pool.wait_for_result() == (Outcome.OK, b"done")
 
     run_async_test(body())
--- a/tests/upstream/test_endpoint.py
+++ b/tests/upstream/test_endpoint.py
@@ -26,7 +26,7 @@
 from tests.support.pool import PoolUnderTest
 
 BACKEND_COUNT = 1_000
-BACKEND_ROWS = [(Backend(f"s{number}"), ("127.0.0.1", number + 1)) for number in range(BACKEND_COUNT)]
+BACKEND_ENTRIES = [(Backend(f"s{number}"), ("127.0.0.1", number + 1)) for number in range(BACKEND_COUNT)]
 
 
 class AccessCountingAddressBook(AddressBook):
@@ -85,11 +85,11 @@
 def test_update_of_one_entry_accesses_no_other_entry(readiness: Readiness) -> None:
     async def body() -> None:
         pool = PoolUnderTest()
-        pool.update_endpoints(*BACKEND_ROWS)
+        pool.update_endpoints(*BACKEND_ENTRIES)
         endpoints = AccessCountingEndpoints(
-            {info.id: UpstreamEndpoint(address) for info, address in BACKEND_ROWS}
+            {backend.id: UpstreamEndpoint(address) for backend, address in BACKEND_ENTRIES}
         )
-        before = {
+        state_before = {
             name: (id(endpoint), endpoint.address, endpoint.is_draining)
             for name, endpoint in endpoints.items()
         }
@@ -101,11 +101,11 @@
         pool.update_endpoints((Backend("s7", readiness=readiness), ("127.0.0.2", 7)), full=False)
         assert book.touched <= 2
         assert endpoints.touched <= 2
-        after = {
+        state_after = {
             name: (id(endpoint), endpoint.address, endpoint.is_draining)
             for name, endpoint in endpoints.items()
         }
-        assert {name for name in before if after.get(name) != before[name]} == {"s7"}
+        assert {name for name in state_before if state_after.get(name) != state_before[name]} == {"s7"}
         assert len(pool.pool.endpoint_table.addresses) == BACKEND_COUNT - (readiness is Readiness.REMOVED)
 
     run_async_test(body())
@@ -115,7 +115,7 @@
     async def body() -> None:
         async with scripted_backend() as peer:
             pool = PoolUnderTest()
-            pool.update_endpoints(*BACKEND_ROWS, (Backend("s-here"), peer.address))
+            pool.update_endpoints(*BACKEND_ENTRIES, (Backend("s-here"), peer.address))
             assert not pool.pool.endpoint_table.contacted_endpoints
             pool.start_attempt("s-here")
             assert (await pool.wait_for_result())[0] is Outcome.OK
@@ -153,28 +153,28 @@
         ("left out and back", Outcome.CONNECT_FAILED),
     ],
 )
-def test_full_list_that_arrives_while_a_connection_is_opened(change: str, outcome: Outcome) -> None:
+def test_complete_list_that_arrives_while_a_connection_is_opened(change: str, outcome: Outcome) -> None:
     async def body() -> None:
         async with (
             scripted_backend(encode_value_reply(b"first")) as peer,
-            scripted_backend(encode_value_reply(b"second")) as other,
+            scripted_backend(encode_value_reply(b"second")) as other_peer,
         ):
-            pool = PoolUnderTest(peer.address, other.address)
-            delayed_connections = DelayedConnectLoop()
-            pool.pool.loop = delayed_connections  # type: ignore[assignment]
+            pool = PoolUnderTest(peer.address, other_peer.address)
+            delayed_loop = DelayedConnectLoop()
+            pool.pool.loop = delayed_loop  # type: ignore[assignment]
             pool.start_attempt()  # the first attempt creates the endpoint
             await asyncio.sleep(0)
-            rest = (Backend("s1"), other.address)
+            other_entry = (Backend("s1"), other_peer.address)
             if change.startswith("left out"):
-                pool.update_endpoints(rest)
+                pool.update_endpoints(other_entry)
             if change != "left out":
                 readiness = Readiness.DRAINING if change == "drains" else Readiness.READY
-                address = other.address if change == "moved" else peer.address
-                pool.update_endpoints((Backend("s0", readiness=readiness), address), rest)
-            delayed_connections.connect_allowed.set()
+                address = other_peer.address if change == "moved" else peer.address
+                pool.update_endpoints((Backend("s0", readiness=readiness), address), other_entry)
+            delayed_loop.connect_allowed.set()
             assert (await pool.wait_for_result())[0] is outcome
             assert len(peer.received_commands) == (outcome is Outcome.OK)
-            assert not other.received_commands
+            assert not other_peer.received_commands
             await wait_until(lambda: pool.pool.connection_count == (outcome is Outcome.OK))
 
     run_async_test(body())
@@ -200,13 +200,13 @@
     run_async_test(body())
 
 
-def test_backend_missing_from_a_full_list_is_removed() -> None:
+def test_backend_missing_from_a_complete_list_is_removed() -> None:
     async def body() -> None:
-        async with scripted_backend() as peer, scripted_backend() as other:
-            pool = PoolUnderTest(peer.address, other.address)
+        async with scripted_backend() as peer, scripted_backend() as other_peer:
+            pool = PoolUnderTest(peer.address, other_peer.address)
             pool.start_attempt("s0")
             await pool.wait_for_result()
-            pool.update_endpoints((Backend("s1"), other.address))
+            pool.update_endpoints((Backend("s1"), other_peer.address))
             await wait_until(lambda: pool.pool.connection_count == 0)
             pool.start_attempt("s0")
             assert await pool.wait_for_result(2) == (Outcome.CONNECT_FAILED, None)
@@ -257,18 +257,18 @@
 @pytest.mark.parametrize("back", ["same", "elsewhere"])
 def test_waiting_attempt_fails_if_its_backend_is_removed_and_listed_again(back: str) -> None:
     async def body() -> None:
-        async with scripted_backend() as peer, scripted_backend() as other:
+        async with scripted_backend() as peer, scripted_backend() as other_peer:
             pool = PoolUnderTest(peer.address)
             pool.start_attempt()  # its connection is established after both updates
             pool.update_endpoints((Backend("s0", readiness=Readiness.REMOVED), peer.address), full=False)
             pool.update_endpoints(
-                (Backend("s0"), peer.address if back == "same" else other.address), full=False
+                (Backend("s0"), peer.address if back == "same" else other_peer.address), full=False
             )
             assert await pool.wait_for_result() == (Outcome.CONNECT_FAILED, None)
             pool.start_attempt()
             assert (await pool.wait_for_result(2))[0] is Outcome.OK
             assert len(peer.received_commands) == (back == "same")
-            assert len(other.received_commands) == (back != "same")
+            assert len(other_peer.received_commands) == (back != "same")
             await wait_until(lambda: pool.pool.connection_count == 1)
 
     run_async_test(body())
@@ -279,18 +279,18 @@
     change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body() -> None:
-        async with scripted_backend() as peer, scripted_backend() as other:
+        async with scripted_backend() as peer, scripted_backend() as other_peer:
             pool = PoolUnderTest(peer.address)
             pool.start_attempt()
             assert (await pool.wait_for_result())[0] is Outcome.OK
             monkeypatch.setattr(pool.pool.idle_connections, "reuse_delay_s", 0.05)
             pool.start_attempt()  # waits for the reuse delay of the idle connection
             readiness = {"moved": Readiness.READY, "gone": Readiness.REMOVED, "drains": Readiness.DRAINING}
-            address = other.address if change == "moved" else peer.address
+            address = other_peer.address if change == "moved" else peer.address
             pool.update_endpoints((Backend("s0", readiness=readiness[change]), address), full=False)
             outcome = Outcome.OK if change == "moved" else Outcome.CONNECT_FAILED
             assert (await pool.wait_for_result(2))[0] is outcome
             assert len(peer.received_commands) == 1
-            assert len(other.received_commands) == (change == "moved")
+            assert len(other_peer.received_commands) == (change == "moved")
 
     run_async_test(body())
--- a/tests/upstream/test_idle.py
+++ b/tests/upstream/test_idle.py
@@ -40,11 +40,11 @@
 
 
 def test_connection_closed_by_the_backend_is_not_reused() -> None:
-    async def script(number: int, reader: Reader, writer: Writer) -> None:
+    async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
         while True:
             await read_command(reader)
-            writer.write(encode_value_reply(b"%d" % number))
-            if number == 0:
+            writer.write(encode_value_reply(b"%d" % connection_index))
+            if connection_index == 0:
                 return
 
     async def body() -> None:
@@ -87,12 +87,12 @@
 def test_idle_timeout_is_shortened_after_an_idle_connection_broke() -> None:
     """A connection that the backend dropped while it was idle resets the attempt that is written to it."""
 
-    async def script(number: int, reader: Reader, writer: Writer) -> None:
-        for count in range(4):
+    async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
+        for command_index in range(4):
             await read_command(reader)
-            if number == 0 and count == 1:
+            if connection_index == 0 and command_index == 1:
                 return
-            writer.write(encode_value_reply(b"%d" % number))
+            writer.write(encode_value_reply(b"%d" % connection_index))
 
     async def body() -> None:
         async with ScriptedServer(script) as peer:
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -58,8 +58,8 @@
 
 def test_connections_are_limited_over_all_backends_together() -> None:
     async def body() -> None:
-        async with scripted_backend() as one, scripted_backend(b"") as silent:
-            pool = PoolUnderTest(one.address, silent.address, max_connections=2)
+        async with scripted_backend() as answering_peer, scripted_backend(b"") as silent_peer:
+            pool = PoolUnderTest(answering_peer.address, silent_peer.address, max_connections=2)
             pool.start_attempt("s0")
             await pool.wait_for_result()
             pool.start_attempt("s1")
@@ -69,7 +69,7 @@
                 Outcome.SUPERSEDED,
                 None,
             )  # does not count against the backend
-            await wait_until(lambda: len(silent.received_commands) == 2)
+            await wait_until(lambda: len(silent_peer.received_commands) == 2)
             assert pool.pool.connection_count == 2
             assert pool.results[-1].attempt_number == 3
 
--- a/tests/upstream/test_replies.py
+++ b/tests/upstream/test_replies.py
@@ -17,12 +17,12 @@
 
 def test_reply_end_is_incomplete_until_the_last_byte_arrives() -> None:
     complete_reply = b"*3\r\n$5\r\nhello\r\n$-1\r\n$-1\r\n"
-    assert [find_reply_end(complete_reply[:n]) for n in range(len(complete_reply))] == [-1] * len(
+    assert [find_reply_end(complete_reply[:size]) for size in range(len(complete_reply))] == [-1] * len(
         complete_reply
     )
     assert find_reply_end(complete_reply + b"*") == len(complete_reply)
     error_line = b"-ERR failed\r\n"
-    assert [find_reply_end(error_line[:n]) for n in range(len(error_line))] == [-1] * len(error_line)
+    assert [find_reply_end(error_line[:size]) for size in range(len(error_line))] == [-1] * len(error_line)
 
 
 @pytest.mark.parametrize(
