--- a/ingress/counter/client.py
+++ b/ingress/counter/client.py
@@ -26,7 +26,7 @@
 IDLE_TIMEOUT_S = 8.0  # the counter itself closes a connection after about 10 s without calls
 MIN_IDLE_CHECK_INTERVAL_S = 0.5  # minimum time between two checks whether a connection is idle
 MAX_CONNECTIONS = 8  # the counter accepts up to 32 connections from one ingress
-SILENT_TIMEOUTS = 6  # a connection is closed if its oldest call is unanswered for this many call timeouts
+SILENT_AFTER_TIMEOUTS = 6  # a connection is closed if a call is unanswered for this many timeouts
 MAX_PENDING_CALLS = 2000  # unsent and unanswered calls; further calls are rejected
 MAX_LOGGED_FAULTS = 20  # faults that are all logged; of the later ones only every hundredth is
 
@@ -53,7 +53,7 @@
     def increment(self, name: int, amount: float, lifetime_s: float) -> None:
         """Add the amount to the count `name`, which the counter deletes after `lifetime_s`.
 
-        Pass the reply to `on_reply`.
+        Pass the outcome to `on_reply`, also if the counter does not reply.
         """
         call = CounterCall(name, encode_add(name, amount, lifetime_s), self.clock())
         if self._count_pending_calls() >= MAX_PENDING_CALLS:
@@ -96,8 +96,8 @@
         )
 
     def _close_silent_connections(self, now: float) -> None:
-        """Close connections on which replies are overdue, since further calls on them would time out too."""
-        earliest_allowed_start = now - SILENT_TIMEOUTS * self.timeout_s
+        """Close connections with a long unanswered call, since further calls on them would time out too."""
+        earliest_allowed_start = now - SILENT_AFTER_TIMEOUTS * self.timeout_s
         for connection in [
             candidate
             for candidate in self.connections
--- a/ingress/discovery/backoff.py
+++ b/ingress/discovery/backoff.py
@@ -14,8 +14,8 @@
     margin                                NOTIFICATION_MARGIN_S         0.25 s
     total                                 NOTIFIED_WITHIN_S             6.00 s
 
-The delay after any other failure is at most `max_backoff_s`, which is shorter.  The times add up to
-less if the connection of a long poll stops working:
+The delay after any other failure is at most `max_backoff_s`, which is shorter.  The times add up to less
+if the connection of a long poll stops working:
 
     timeout of the lost long poll         WATCH_WAIT_MS                 1.00 s
                                           watch_grace_s                 2.25 s
@@ -55,36 +55,38 @@
 MAX_DOUBLINGS = 32  # prevents a float overflow; the upper bounds are reached long before
 
 
-def backoff_delay(failure_count: int, error: Exception, timing: WatchTiming, rng: random.Random) -> float:
-    """Return the delay in seconds before the retry of a call that failed with `error`.
+def draw_backoff_delay(
+    failure_count: int, error: Exception, timing: WatchTiming, rng: random.Random
+) -> float:
+    """Return a random delay in seconds before the retry of a call that failed with `error`.
 
     `failure_count` is the number of consecutive failed calls before this one.
     """
     if isinstance(error, DiscoveryRejectedError):
-        return rejected_backoff_delay(failure_count, rng)
+        return draw_rejected_backoff_delay(failure_count, rng)
     if isinstance(error, DiscoveryTimeoutError):
-        return jittered_delay(failure_count, min(timing.max_backoff_s, MAX_TIMEOUT_BACKOFF_S), rng)
-    return jittered_delay(failure_count, timing.max_backoff_s, rng)
+        return draw_jittered_delay(failure_count, min(timing.max_backoff_s, MAX_TIMEOUT_BACKOFF_S), rng)
+    return draw_jittered_delay(failure_count, timing.max_backoff_s, rng)
 
 
-def jittered_delay(failure_count: int, max_backoff_s: float, rng: random.Random) -> float:
-    """Return a delay in seconds by exponential backoff with full jitter."""
-    bound_s = _exponential_backoff_s(INITIAL_BACKOFF_S, failure_count)
+def draw_jittered_delay(failure_count: int, max_backoff_s: float, rng: random.Random) -> float:
+    """Return a random delay in seconds by exponential backoff with full jitter."""
+    bound_s = _compute_exponential_backoff_s(INITIAL_BACKOFF_S, failure_count)
     return rng.uniform(0.0, min(max_backoff_s, bound_s))
 
 
-def rejected_backoff_delay(failure_count: int, rng: random.Random) -> float:
-    """Return the delay in seconds after a rejected call.
+def draw_rejected_backoff_delay(failure_count: int, rng: random.Random) -> float:
+    """Return a random delay in seconds after a rejected call.
 
     The delay has full jitter (from 0 to the bound) while the bound grows, and equal jitter (from half the
     bound to the bound) once it is at its maximum.  Equal jitter sends a third fewer calls to an overloaded
     service.
     """
-    bound_s = _exponential_backoff_s(INITIAL_REJECTED_BACKOFF_S, failure_count)
+    bound_s = _compute_exponential_backoff_s(INITIAL_REJECTED_BACKOFF_S, failure_count)
     if bound_s >= MAX_REJECTED_BACKOFF_S:
         return rng.uniform(MAX_REJECTED_BACKOFF_S / 2, MAX_REJECTED_BACKOFF_S)
     return rng.uniform(0.0, min(MAX_REJECTED_BACKOFF_S, bound_s))
 
 
-def _exponential_backoff_s(initial_s: float, failure_count: int) -> float:
+def _compute_exponential_backoff_s(initial_s: float, failure_count: int) -> float:
     return initial_s * 2.0 ** min(failure_count, MAX_DOUBLINGS)
--- a/ingress/discovery/http_client.py
+++ b/ingress/discovery/http_client.py
@@ -71,7 +71,7 @@
                 self._keep_or_close_connection(connection)
 
     def _keep_or_close_connection(self, connection: HttpConnection) -> None:
-        if connection.prepare_reuse():
+        if connection.prepare_for_reuse():
             self._connection = connection
         else:
             connection.close()
--- a/ingress/discovery/http_connection.py
+++ b/ingress/discovery/http_connection.py
@@ -57,7 +57,7 @@
             raise _make_too_long_error(max_body_bytes)
         return await self._read_body(max_body_bytes)
 
-    def prepare_reuse(self) -> bool:
+    def prepare_for_reuse(self) -> bool:
         """Prepare the connection for another call; return whether it can be reused.
 
         It can't be reused if the response was not read to its end, if data after the response has arrived, or
--- a/ingress/discovery/timing.py
+++ b/ingress/discovery/timing.py
@@ -1,7 +1,7 @@
 """Define the timeouts of calls to the discovery agent.
 
-A change of the endpoint list counts as notified `NOTIFIED_WITHIN_S` after discovery has the change and can
-be reached.  From then on the gateway is held responsible for the change, so the change must have been
+A change of the endpoint list counts as notified `NOTIFIED_WITHIN_S` seconds after discovery has the change
+and can be reached.  From then on the gateway is held responsible for the change, so the change must have been
 received by then.  `backoff` shows that the timeouts and the retry delays add up to no more than this time.
 """
 
@@ -16,7 +16,7 @@
 # A long poll returns as soon as there is a change, so a short wait only costs some more small calls.  The
 # wait limits for how long changes go unnoticed after a connection has silently stopped working.
 WATCH_WAIT_MS = 1_000
-# A call after a failed one does not wait for a change, so that its loss is detected sooner.
+# A call after a failed one waits for a change only this long, so that its loss is detected sooner.
 RETRY_WAIT_MS = 1
 # An agent that has to be polled serves one call after another, so a call may have to wait in its queue.
 SERVICE_TIME_LIMIT_S = 2.0  # a call that has not been served after this time is lost
--- a/ingress/discovery/watch.py
+++ b/ingress/discovery/watch.py
@@ -7,7 +7,7 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from ingress.discovery.backoff import backoff_delay
+from ingress.discovery.backoff import draw_backoff_delay
 from ingress.discovery.client import ClientFactory, DiscoveryClient
 from ingress.discovery.endpoint_list import EndpointList, decode_endpoint_list
 from ingress.discovery.errors import DiscoveryUnavailableError, InvalidEndpointListError
@@ -66,11 +66,11 @@
                 # Any exception is caught: if an error in decoding or in `on_update` ended the watch, the
                 # gateway would receive no further change.  The list that is held stays in use.
                 except Exception as error:  # noqa: BLE001
-                    self._record_failure(failure_count, error)
-                    await self._sleep(backoff_delay(failure_count, error, self._timing, self._rng))
+                    self._handle_failure(failure_count, error)
+                    await self._sleep(draw_backoff_delay(failure_count, error, self._timing, self._rng))
                     failure_count += 1
 
-    def _record_failure(self, failure_count: int, error: Exception) -> None:
+    def _handle_failure(self, failure_count: int, error: Exception) -> None:
         if failure_count in LOGGED_FAILURE_COUNTS:
             log.warning("discovery poll failed error=%s reason=%s", type(error).__name__, error)
         # The complete list is the most expensive response for discovery, so the watch asks for it only if the
@@ -79,7 +79,7 @@
             self.version = None
 
     async def _poll(self, client: DiscoveryClient, *, is_retry: bool) -> None:
-        query, timeout_s = self._next_call(is_retry)
+        query, timeout_s = self._choose_next_call(is_retry)
         # The body may be long.  No variable refers to it, so that its memory is freed before the update is
         # handled.
         update = await decode_endpoint_list(await client.fetch(query, timeout_s, self._max_body_bytes))
@@ -95,7 +95,7 @@
         elif update.backends:
             self._on_update(EndpointUpdateKind.UPDATE, update)
 
-    def _next_call(self, is_retry: bool) -> tuple[str, float]:
+    def _choose_next_call(self, is_retry: bool) -> tuple[str, float]:
         """Return the query of the next call and its timeout in seconds."""
         if self.version is None:
             return "", self._timing.poll_timeout_s
--- a/ingress/upstream/connection.py
+++ b/ingress/upstream/connection.py
@@ -33,10 +33,10 @@
         """Handle a valid reply to the attempt."""
 
     def on_malformed_reply(self, attempt: Attempt, error: FrameError) -> None:
-        """Handle bytes that are no valid reply; the connection has closed itself."""
+        """Handle bytes that are not a valid reply; the connection has closed itself."""
 
     def on_connection_broken(self, connection: BackendConnection, attempt: Attempt) -> None:
-        """Handle the end of the connection before the whole reply to the attempt arrived."""
+        """Handle the end of the connection before the complete reply to the attempt arrived."""
 
     def on_idle_connection_broken(self, idle_s: float) -> None:
         """Handle the end of a connection before any byte of the reply to its attempt arrived.
@@ -84,11 +84,11 @@
         self.transport.set_write_buffer_limits(high=0)
 
     def pause_writing(self) -> None:
-        """Record that part of the command is left in the transport's buffer."""
+        """Record that part of the command is still in the transport's buffer."""
         self.has_unsent_bytes = True
 
     def resume_writing(self) -> None:
-        """Record that the whole command was handed to the operating system."""
+        """Record that the complete command was handed to the operating system."""
         self.has_unsent_bytes = False
 
     def data_received(self, data: bytes) -> None:
--- a/ingress/upstream/endpoint.py
+++ b/ingress/upstream/endpoint.py
@@ -22,7 +22,7 @@
     is_listed: bool = True  # False after the removal; if the backend is listed again, it gets a new endpoint
 
     def close_idle_connections(self) -> None:
-        """Close the connections that are idle."""
+        """Close the idle connections to this backend."""
         for connection in list(self.idle_connections):
             connection.close()
 
@@ -96,8 +96,8 @@
         if endpoint.address != address:
             endpoint.address = address
             endpoint.close_idle_connections()
-        # An attempt that waits for a connection is not written to a draining backend either: as the list may
-        # arrive late, the attempt could reach the backend after the end of its grace period.
+        # An attempt that waits for a connection is not written to a draining backend either.  Since the list
+        # may arrive late, the attempt could reach the backend after the end of its grace period.
         endpoint.is_draining = backend_id in self.draining_ids
 
     def _remove_backend(self, backend_id: str) -> None:
--- a/tests/discovery/test_backoff.py
+++ b/tests/discovery/test_backoff.py
@@ -17,8 +17,8 @@
     INITIAL_REJECTED_BACKOFF_S,
     MAX_REJECTED_BACKOFF_S,
     MAX_TIMEOUT_BACKOFF_S,
-    jittered_delay,
-    rejected_backoff_delay,
+    draw_jittered_delay,
+    draw_rejected_backoff_delay,
 )
 from ingress.discovery.client import DiscoveryClient
 from ingress.discovery.endpoint_list import EndpointList
@@ -190,7 +190,7 @@
         failure_count = 0
         while at_s < FAILURES_END_S:
             calls[int(at_s / interval_s)] += 1
-            at_s += rejected_backoff_delay(failure_count, rng)
+            at_s += draw_rejected_backoff_delay(failure_count, rng)
             failure_count += 1
     later_call_counts = [
         calls[number] for number in range(int(5.0 / interval_s), int(FAILURES_END_S / interval_s))
@@ -210,7 +210,9 @@
     """The first delay has full jitter; the delay has equal jitter once the backoff is at its maximum."""
     longest_delay_s = MAX_REJECTED_BACKOFF_S
     assert longest_delay_s / 2 < INITIAL_REJECTED_BACKOFF_S < longest_delay_s
-    delays = [[rejected_backoff_delay(n, rng) for n in (0, 3, 50, 10_000)] for rng in map(Random, range(400))]
+    delays = [
+        [draw_rejected_backoff_delay(n, rng) for n in (0, 3, 50, 10_000)] for rng in map(Random, range(400))
+    ]
     ranges = ((0.0, INITIAL_REJECTED_BACKOFF_S), *[(longest_delay_s / 2, longest_delay_s)] * 3)
     for delays_for_count, (low, high) in zip(zip(*delays, strict=True), ranges, strict=True):
         assert min(delays_for_count) >= low
@@ -224,7 +226,9 @@
 def test_delays_after_other_failures_stay_within_the_maximum_backoff() -> None:
     longest_delay_s = POLLED_TIMING.max_backoff_s
     delays = [
-        jittered_delay(n, longest_delay_s, rng) for rng in map(Random, range(400)) for n in (0, 3, 50, 10_000)
+        draw_jittered_delay(n, longest_delay_s, rng)
+        for rng in map(Random, range(400))
+        for n in (0, 3, 50, 10_000)
     ]
     assert min(delays) >= 0.0
     assert max(delays) <= longest_delay_s
--- a/tests/network/test_frames.py
+++ b/tests/network/test_frames.py
@@ -6,8 +6,8 @@
 
 from ingress.network.frames import INCOMPLETE, FrameError, find_array_end
 
-ITEMS = b"*2\r\n$2\r\nab\r\n$0\r\n\r\n"
-WITH_NULL = b"*2\r\n$-1\r\n$2\r\nab\r\n"
+ARRAY = b"*2\r\n$2\r\nab\r\n$0\r\n\r\n"
+ARRAY_WITH_NULL = b"*2\r\n$-1\r\n$2\r\nab\r\n"
 MAX_ITEMS = 3
 MAX_ITEM_BYTES = 8
 MAX_ARRAY_BYTES = 30
@@ -18,7 +18,9 @@
 
 
 @pytest.mark.parametrize("kind", [bytes, bytearray])
-@pytest.mark.parametrize(("frame", "allow_null"), [(ITEMS, False), (WITH_NULL, True), (b"*0\r\n", False)])
+@pytest.mark.parametrize(
+    ("frame", "allow_null"), [(ARRAY, False), (ARRAY_WITH_NULL, True), (b"*0\r\n", False)]
+)
 def test_array_is_incomplete_until_its_last_byte_arrives(
     kind: type[bytes] | type[bytearray], frame: bytes, allow_null: bool
 ) -> None:
@@ -28,7 +30,7 @@
 
 
 def test_end_of_an_array_that_follows_another() -> None:
-    assert find_end(ITEMS + ITEMS, len(ITEMS)) == 2 * len(ITEMS)
+    assert find_end(ARRAY + ARRAY, len(ARRAY)) == 2 * len(ARRAY)
 
 
 @pytest.mark.parametrize(
