--- a/ingress/upstream/pool.py
+++ b/ingress/upstream/pool.py
@@ -49,7 +49,7 @@
     ) -> None:
         """Make a pool without backends; an event loop must be running.
 
-        The limits hold for all backends together.  `backend_idle_timeout_s` is the time after which a backend
+        The limits apply to all backends together.  `backend_idle_timeout_s` is the time after which a backend
         closes an idle connection.
         """
         self.max_connections = max_connections
@@ -131,7 +131,8 @@
                 self.idle_connections.reuse_delay_s, self._assign_connection, endpoint, attempt, False
             )
         elif self.connection_count >= self.max_connections and not self.idle_connections.close_longest_idle():
-            # SUPERSEDED, since a lack of sockets on this machine must not count as a failure of the backend.
+            # The outcome is SUPERSEDED, since a lack of sockets on this machine must not count as a failure of
+            # the backend.
             self.fault_log.warning("upstream connections exhausted backend=%s", attempt.backend_id)
             self._finish_attempt(attempt, Outcome.SUPERSEDED)
         else:
@@ -143,7 +144,7 @@
             connection.send(attempt, now)
         else:
             # The retry would reach the backend after the end of its deduplication window and take effect a
-            # second time.  SUPERSEDED, since this is no failure of the backend.
+            # second time.  The outcome is SUPERSEDED, since this is not a failure of the backend.
             self.release_connection(connection)
             self._finish_attempt(attempt, Outcome.SUPERSEDED)
 
