--- a/ingress/upstream/pool.py
+++ b/ingress/upstream/pool.py
@@ -131,8 +131,8 @@
                 self.idle_connections.reuse_delay_s, self._assign_connection, endpoint, attempt, False
             )
         elif self.connection_count >= self.max_connections and not self.idle_connections.close_longest_idle():
-            # The outcome is SUPERSEDED, since a lack of sockets on this machine must not count as a failure of
-            # the backend.
+            # The outcome is SUPERSEDED, since a lack of sockets on this machine must not count as a failure
+            # of the backend.
             self.fault_log.warning("upstream connections exhausted backend=%s", attempt.backend_id)
             self._finish_attempt(attempt, Outcome.SUPERSEDED)
         else:
