--- a/ingress/decisions/answer_times.py
+++ b/ingress/decisions/answer_times.py
@@ -28,7 +28,11 @@
         return max(self.mean_by_class.get(request_class.name, initial), self.min_mean_s)
 
     def record(self, request_class: api.RequestClass, latency: float) -> None:
-        """Include an answer that took `latency` seconds, capped at the class's latency objective."""
+        """Include an answer that took `latency` seconds.
+
+        The first answer initializes the mean.  Each answer then moves the mean towards its latency, which
+        counts as at most the class's latency objective.
+        """
         mean = self.mean_by_class.setdefault(request_class.name, latency)
         self.mean_by_class[request_class.name] = mean + SLOW_SMOOTHING_FACTOR * (
             min(latency, request_class.latency_objective) - mean
@@ -39,7 +43,7 @@
         self.mean_request_units += (units - self.mean_request_units) * SLOW_SMOOTHING_FACTOR
 
     def expected_work(self, request: PendingRequest) -> float:
-        """Return the work that the request is expected to cause, as a multiple of the mean request's."""
+        """Return the work that the request is expected to cause, as a multiple of a mean request's work."""
         mean = self.mean(request.request_class)
         means = self.mean_by_class.values() or [mean]
         return mean * len(means) / sum(means) * request.units / max(self.mean_request_units, MIN_MEAN_UNITS)
--- a/ingress/decisions/backend.py
+++ b/ingress/decisions/backend.py
@@ -1,4 +1,4 @@
-"""The state that this gateway keeps of one backend: attempts in flight, latency, health and limits."""
+"""The state that this gateway keeps for one backend: attempts in flight, latency, health and limits."""
 
 from dataclasses import dataclass
 
@@ -11,8 +11,8 @@
 
 CROSS_ZONE_FACTOR = 1.1  # multiplies the load score of backends in other zones, as a tie-break
 MIN_RELATIVE_LATENCY = 0.2  # lower bound of a backend's latency over the mean, in the load score
-SILENCE_FOR_MEAN_LATENCY = 3.0  # mean answer times of silence that count as a relative latency of 1
-RELATIVE_LATENCY_HALF_LIFE = 3  # in longest latency objectives: after this, an observation counts half
+SILENCE_FOR_MEAN_LATENCY = 3.0  # a silence of this many mean answer times counts as a relative latency of 1
+RELATIVE_LATENCY_HALF_LIFE = 3  # longest latency objectives after which the effect of past answers is halved
 MIN_DIVISOR = 1e-6  # replaces a mean answer time or a weight of 0, to prevent a division by zero
 
 
@@ -30,9 +30,9 @@
     """A backend that this gateway may send to, or where it has attempts in flight."""
 
     def __init__(
-        self, info: api.Backend, now: float, budget_level: float = 0.0, totals: LoadTotals | None = None
+        self, entry: api.Backend, now: float, budget_level: float = 0.0, totals: LoadTotals | None = None
     ) -> None:
-        self.entry = info
+        self.entry = entry
         """The backend's entry in the endpoint list."""
         self.totals = totals or LoadTotals()
         """Sums over all candidates; they include this backend while it is a candidate."""
@@ -45,7 +45,7 @@
         self.reset_for_restart(now, budget_level)
 
     def reset_for_restart(self, now: float, budget_level: float) -> None:
-        """Discard what was learned of an earlier process of the backend.
+        """Discard what was learned about an earlier process of the backend.
 
         `budget_level` is the initial level of the slow-start budget, in mean requests.  It should be random:
         if the budgets of all gateways started at the same level, all would allow their first request at the
@@ -58,7 +58,7 @@
         self.relative_latency = 1.0
         """Running mean of the backend's answer times, each divided by the mean of its request class."""
         self.last_answer_at = now
-        """Time of the last answer (s), or of a time-out if no answer came since its attempt was sent."""
+        """Time (s) of the last answer, or of the timeout of an attempt that was sent after that answer."""
         self.slow_start_budget = TokenBucket(0.0, 1.0, budget_level, now)
         """The work, in mean requests, that this gateway may send to the backend while it warms up."""
 
@@ -87,7 +87,8 @@
     ) -> None:
         """Update latency, health and limit after an answer that took `latency` seconds.
 
-        `mean_answer_time` is the mean of the request's class (s).
+        The caller also uses this for a timeout, if the backend has answered nothing since the attempt was
+        sent.  `mean_answer_time` is the mean of the request's class (s).
         """
         self.relative_latency += SMOOTHING_FACTOR * (
             latency / max(mean_answer_time, MIN_DIVISOR) - self.relative_latency
@@ -108,9 +109,9 @@
     def record_failure(self, now: float, outcome: api.Outcome, longest_objective: float) -> None:
         """Update health and limit after a failed or rejected attempt.
 
-        A backend that fails at once has few attempts in flight.  Without ejection the balancer would take it
-        for idle and send it all requests.  `longest_objective` is the longest latency objective of all
-        classes (s).
+        A backend that fails immediately has few attempts in flight, so without ejection the balancer would
+        consider it idle and send it all requests.  `longest_objective` is the longest latency objective of
+        all classes (s).
         """
         if outcome is not api.Outcome.REJECTED:
             self.ejection.record_failure(now, outcome, longest_objective)
@@ -130,7 +131,7 @@
         self.ejection.mark_suspect()
 
     def is_ejected(self, now: float) -> bool:
-        """Return whether failures exclude the backend; after the pause it gets one attempt at a time."""
+        """Return whether the backend may get no attempt now, because of earlier failures or rejections."""
         return self.ejection.is_ejected(now, bool(self.attempts_in_flight))
 
     def silence_duration(self, now: float) -> float:
@@ -149,7 +150,8 @@
         request's class (s).  `tie_break` is drawn from the exponential distribution, so that among idle
         backends each is chosen in proportion to its weight.
         """
-        # An old observation decays: otherwise a backend that was slow once would never be tried again.
+        # The effect of past answers decays: otherwise a backend that was slow once would never be tried
+        # again.
         half_lives = (now - self.last_answer_at) / (RELATIVE_LATENCY_HALF_LIFE * longest_objective)
         decay: float = 0.5**half_lives
         silence = self.silence_duration(now) / max(mean_answer_time, MIN_DIVISOR) / SILENCE_FOR_MEAN_LATENCY
--- a/ingress/decisions/balancer.py
+++ b/ingress/decisions/balancer.py
@@ -11,13 +11,13 @@
 from ingress.decisions.slow_start import SlowStart
 from ingress.decisions.subset import Subsetting
 
-STALL_FACTOR = 4.0  # mean answer times: a backend that owes answers and is silent for longer has stalled
-MIN_HEALTHY_SHARE = 0.5  # of the compared backends; with fewer healthy, ejection is suspended (panic mode)
-SUBSET_ATTEMPTS = 2  # attempts of a request to the subset; further ones use the reserve (subset may be down)
+STALL_FACTOR = 4.0  # a backend that answers no attempt for this many mean answer times has stalled
+MIN_HEALTHY_SHARE = 0.5  # of the usable backends; if fewer are healthy, ejection is suspended (panic mode)
+SUBSET_ATTEMPTS = 2  # first attempts of a request; later ones prefer the reserve, as the subset may be down
 MAX_COMPARED = 32  # backends of the subset or the reserve that are compared for one attempt
 MAX_FALLBACK_COMPARED = 256  # candidates that are compared if none of the first sample has room
 MAX_SAMPLED_READY = 16  # ready backends that are compared if no candidate has room
-DECREASE_INTERVAL_SHARE = 0.25  # of the longest latency objective: between decreases without an answer
+DECREASE_INTERVAL_SHARE = 0.25  # of the longest latency objective; interval for limits of silent backends
 
 
 class LoadBalancer:
@@ -77,7 +77,7 @@
         self.candidate_set.apply_update(event, now)
 
     def add_attempt(self, backend: TrackedBackend, key: AttemptKey, now: float) -> None:
-        """Add an attempt that was sent to the attempts in flight at the backend."""
+        """Add an attempt, sent at the time `now`, to those in flight at the backend."""
         self.candidate_set.add_attempt(backend, key, now)
 
     def remove_attempt(self, backend: TrackedBackend, key: AttemptKey) -> float:
@@ -124,12 +124,15 @@
     def _choose_among(
         self, request: PendingRequest, now: float, compared: list[TrackedBackend]
     ) -> TrackedBackend | None:
-        """Return the least loaded of the backends that may get the request now, or None if none may."""
+        """Return the least loaded of the backends that may get the request now, or None if none may.
+
+        If the chosen backend is warming up, take the request's work from its slow-start budget.
+        """
         usable = [b for b in compared if request.may_send(b, now, self.settings)]
         healthy_ids = self._find_healthy_ids(usable, now)
         more_can_be_compared = len(compared) < len(self.candidate_set.candidates)
         if not healthy_ids and more_can_be_compared:
-            return None  # the caller compares more backends, which shows whether all share a common fault
+            return None  # the caller compares more backends, to find out whether they have a common fault
         eligible = self._find_eligible_backends(request, now, usable, healthy_ids)
         chosen = self._find_least_loaded(request, now, eligible)
         if chosen is not None and chosen.is_warming_up(now, self.settings):
@@ -166,7 +169,7 @@
                 continue
             if skips_tried and backend_id in tried_ids:
                 continue
-            # An overloaded backend may answer nothing, so that no answer would decrease its limit.
+            # Answers decrease the limit of an overloaded backend, but such a backend may not answer at all.
             if backend.silence_duration(now) > self.longest_objective:
                 backend.decrease_limit(now, DECREASE_INTERVAL_SHARE * self.longest_objective)
             if len(backend.attempts_in_flight) < backend.concurrency_limit.limit:
--- a/ingress/decisions/candidate_set.py
+++ b/ingress/decisions/candidate_set.py
@@ -33,28 +33,28 @@
         """Apply an update of the endpoint list."""
         if event.kind is api.EndpointUpdateKind.UNAVAILABLE:
             return
-        was_ready: dict[str, bool] = {}  # before the update, for each backend that it lists or removes
+        was_ready_by_id: dict[str, bool] = {}  # before the update, for each backend that it lists or removes
         if event.kind is not api.EndpointUpdateKind.UPDATE:
-            was_ready = dict.fromkeys(self._remove_unlisted(event.backends), True)
+            was_ready_by_id = dict.fromkeys(self._remove_unlisted(event.backends), True)
         for entry in event.backends:
-            was_ready.setdefault(entry.id, entry.id in self.ready_backends)
+            was_ready_by_id.setdefault(entry.id, entry.id in self.ready_backends)
             self._apply_entry(entry, now)
         removed_ids = [
             backend_id
-            for backend_id, before in was_ready.items()
-            if before and backend_id not in self.ready_backends
+            for backend_id, was_ready in was_ready_by_id.items()
+            if was_ready and backend_id not in self.ready_backends
         ]
         added_ids = [
             backend_id
-            for backend_id, before in was_ready.items()
-            if not before and backend_id in self.ready_backends
+            for backend_id, was_ready in was_ready_by_id.items()
+            if not was_ready and backend_id in self.ready_backends
         ]
         if removed_ids or added_ids:
             self.subsetting.update(removed_ids, added_ids)
             self._choose_candidates(event.backends, now)
 
     def add_attempt(self, backend: TrackedBackend, key: AttemptKey, now: float) -> None:
-        """Add an attempt that was sent to the attempts in flight at the backend."""
+        """Add an attempt, sent at the time `now`, to those in flight at the backend."""
         self.tracked_backends[backend.entry.id] = backend
         backend.attempts_in_flight[key] = now
         self.load_totals.attempts_in_flight += backend.is_candidate
@@ -107,7 +107,8 @@
         """Track the subset and the reserve, and stop tracking others that have no attempt in flight."""
         subset_ids = self.subsetting.compute_subset()
         candidate_ids = dict.fromkeys(subset_ids + self.subsetting.compute_reserve(subset_ids))
-        # Backends of the update are tracked first, in its order: this order decides the random draws.
+        # Backends of the update are tracked first, in the update's order.  The order decides which random
+        # number becomes the initial budget level of which backend.
         for backend_id in [*(entry.id for entry in updated if entry.id in candidate_ids), *candidate_ids]:
             self.tracked_backends[backend_id] = self._get_or_create_backend(backend_id, now)
         for backend_id, backend in list(self.tracked_backends.items()):
--- a/ingress/decisions/concurrency_limit.py
+++ b/ingress/decisions/concurrency_limit.py
@@ -19,7 +19,7 @@
     """
 
     decreased_at: float
-    """Time of the last decrease (s); before any, the time at which the backend's process became known."""
+    """Time of the last decrease (s), initially the time at which the backend's process became known."""
     limit: float = INITIAL_LIMIT
     """Number of attempts that may be in flight."""
     mean_latency_share: float = BUSY_LATENCY_SHARE
@@ -59,12 +59,12 @@
     def decrease(self, now: float, min_interval: float, in_flight: int) -> float:
         """Decrease the limit unless it was decreased less than `min_interval` seconds ago.
 
-        Return the change, which is 0 if the limit stays.
+        Return the change, which is 0 if the limit is not decreased.
         """
         if now - self.decreased_at < min_interval:
             return 0.0
         self.decreased_at = now
         self.was_decreased = True
-        # A limit far above the number in flight decreases from that number: otherwise many decreases would
-        # have no effect.
+        # If the limit is far above the number of attempts in flight, the decrease starts from that number:
+        # otherwise the limit would restrict nothing until it had been decreased many times.
         return self.set_limit(max(MIN_LIMIT, min(self.limit, in_flight + 1.0) * DECREASE_FACTOR))
--- a/ingress/decisions/hash_ring.py
+++ b/ingress/decisions/hash_ring.py
@@ -1,4 +1,4 @@
-"""A consistent hash ring: names sorted by a hash that every gateway computes alike."""
+"""A consistent hash ring: names sorted by a hash that is the same in every gateway."""
 
 from array import array
 from bisect import bisect_left
@@ -10,7 +10,7 @@
 
 
 def ring_hashes(name: str) -> tuple[int, int]:
-    """Return two hashes of a name, one for each of two rings, whose orders of names are unrelated."""
+    """Return two hashes of a name, for two rings on which the names are in unrelated orders."""
     first = crc32(name.encode())
     return first, first * KNUTH_MULTIPLIER & HASH_MASK
 
@@ -18,7 +18,7 @@
 class HashRing:
     """Names sorted by hash.
 
-    To insert or remove one name costs a binary search and a move of the arrays' tails.
+    Inserting or removing one name costs a binary search and a move of the arrays' tails.
     """
 
     def __init__(self) -> None:
@@ -39,7 +39,7 @@
         if len(removed) + len(added) > MAX_SINGLE_CHANGES:
             self._rebuild(removed, added)
         else:
-            self._change_singly(removed, added)
+            self._change_one_by_one(removed, added)
 
     def _rebuild(self, removed: dict[str, int], added: dict[str, int]) -> None:
         kept = (entry for entry in zip(self.hashes, self.names, strict=True) if entry[1] not in removed)
@@ -47,7 +47,7 @@
         self.hashes = array("L", [hash_value for hash_value, _ in entries])
         self.names = [name for _, name in entries]
 
-    def _change_singly(self, removed: dict[str, int], added: dict[str, int]) -> None:
+    def _change_one_by_one(self, removed: dict[str, int], added: dict[str, int]) -> None:
         for name, hash_value in removed.items():
             index = self.index_of(hash_value, name)
             del self.hashes[index]
--- a/ingress/decisions/outlier_ejection.py
+++ b/ingress/decisions/outlier_ejection.py
@@ -1,15 +1,18 @@
-"""Outlier ejection: a backend that fails or rejects requests gets none during a pause that doubles."""
+"""Outlier ejection: a backend that fails or rejects requests gets none during a pause.
+
+The pause doubles with each further consecutive failure or rejection, up to a maximum.
+"""
 
 from dataclasses import dataclass
 
 import ingress.interface as api
 
-FAILURES_TO_EJECT = 3  # consecutive errors or time-outs
-REJECTIONS_TO_EJECT = 2  # consecutive rejections: the backend is about to shut down or is full for all
+FAILURES_TO_EJECT = 3  # consecutive errors or timeouts
+REJECTIONS_TO_EJECT = 2  # consecutive rejections by a backend that is not busy: it is probably draining
 FAILURE_PAUSE_SHARE = 0.5  # of the longest latency objective: the first pause after failures
 REJECTION_PAUSE_SHARE = 0.25  # of the longest latency objective: the pause after a first rejection
-MAX_FAILURE_DOUBLINGS = 4  # of the pause after failures
-MAX_REJECTION_DOUBLINGS = 5  # of the pause after rejections
+MAX_FAILURE_DOUBLINGS = 4  # maximum number of doublings of the pause after failures
+MAX_REJECTION_DOUBLINGS = 5  # maximum number of doublings of the pause after rejections
 
 
 @dataclass(slots=True)
@@ -28,13 +31,15 @@
     def record_failure(self, now: float, outcome: api.Outcome, longest_objective: float) -> None:
         """Count a failed attempt.
 
-        Eject the backend at once if its connection failed, otherwise after several failures.
+        Eject the backend if its connection failed, or after FAILURES_TO_EJECT consecutive failures.
         """
         self.consecutive_failures += 1
         self.is_unreachable = outcome in (api.Outcome.CONNECT_FAILED, api.Outcome.RESET)
-        excess = self.consecutive_failures - (0 if self.is_unreachable else FAILURES_TO_EJECT - 1)
-        if excess > 0:
-            doublings = min(excess - 1, MAX_FAILURE_DOUBLINGS)
+        ejecting_failure_count = self.consecutive_failures - (
+            0 if self.is_unreachable else FAILURES_TO_EJECT - 1
+        )
+        if ejecting_failure_count > 0:
+            doublings = min(ejecting_failure_count - 1, MAX_FAILURE_DOUBLINGS)
             self.ejected_until = now + FAILURE_PAUSE_SHARE * longest_objective * 2.0**doublings
 
     def record_rejection(self, now: float, is_busy: bool, longest_objective: float) -> bool:
@@ -52,7 +57,7 @@
         return True
 
     def record_answer(self) -> None:
-        """Reset the count of consecutive rejections after an answer or a time-out."""
+        """Reset the count of consecutive rejections after an answer or a timeout."""
         self.consecutive_rejections = 0
 
     def clear_failures(self) -> None:
--- a/ingress/decisions/slow_start.py
+++ b/ingress/decisions/slow_start.py
@@ -1,14 +1,14 @@
-"""Slow start: all gateways together send a backend that warms up less than its present capacity."""
+"""Slow start: limits the work that all gateways together send to a backend that is warming up."""
 
 import ingress.interface as api
 from ingress.decisions.backend import TrackedBackend
 from ingress.decisions.candidate_set import CandidateSet
 
-SAFETY_MARGIN = 0.7  # share of a warming-up backend's capacity that all gateways together may use
-MIN_WARM_SHARE = 0.5  # of the candidates' weight: with less of it warm, the last measured warm rate is kept
+SAFE_LOAD_SHARE = 0.7  # of the load at which a warming-up backend fails; all gateways together send this much
+MIN_WARM_SHARE = 0.5  # of the candidates' weight; if a smaller share is warm, the last measured rate is kept
 RATE_WINDOW_SHARE = 0.25  # of the slow start's duration: the window over which answers are counted
 MIN_RATE_WINDOW_S = 1.0  # lower bound of the window if the slow start is short
-MIN_BUDGET_IN_WINDOW = 0.5  # requests per overload window that a backend gets at least, to show it is warm
+MIN_BUDGET_IN_WINDOW = 0.5  # requests per overload window from all gateways, also if no warm rate is known
 MIN_DIVISOR = 1e-6  # replaces a weight or a duration of 0, to prevent a division by zero
 
 
@@ -37,8 +37,9 @@
     def allows(self, backend: TrackedBackend, now: float, work: float) -> bool:
         """Return whether a backend that warms up may get a request of `work` (in mean requests).
 
-        A new backend is idle, so without this limit all gateways would choose it at once.  Only gateways
-        that have it in their subset send to it, and each sends only its part of what the backend can take.
+        A new backend is idle, so without this limit all gateways would choose it at the same time.  Only
+        gateways that have it in their subset send to it, and each of them sends only its part of the load
+        that the backend can take.
         """
         if backend not in self.candidate_set.subset:
             return False
@@ -52,12 +53,16 @@
         """Update the rate of warm backends, unless too few of the candidates are warm for a good estimate."""
         candidates = self.candidate_set.candidates
         warm_weight = sum(
-            other.entry.weight for other in candidates if not other.is_warming_up(now, self.settings)
+            candidate.entry.weight
+            for candidate in candidates
+            if not candidate.is_warming_up(now, self.settings)
         )
-        if warm_weight >= max(MIN_DIVISOR, MIN_WARM_SHARE * sum(other.entry.weight for other in candidates)):
-            # Answers of all ready backends are counted, of which the candidates are a sample.
-            scale = len(self.candidate_set.ready_backends) / len(candidates)
-            self.warm_rate_per_weight = self.answer_rate / (warm_weight * scale)
+        if warm_weight >= max(
+            MIN_DIVISOR, MIN_WARM_SHARE * sum(candidate.entry.weight for candidate in candidates)
+        ):
+            # The answer rate covers all ready backends, but the weight is known of the candidates only.
+            ready_per_candidate = len(self.candidate_set.ready_backends) / len(candidates)
+            self.warm_rate_per_weight = self.answer_rate / (warm_weight * ready_per_candidate)
 
     def _compute_budget_rate(self, backend: TrackedBackend, now: float) -> float:
         """Return the work per second that this gateway may send to a backend that warms up."""
@@ -72,4 +77,6 @@
         # this backend in their subset: only they send to it while it warms up.
         warm_rate = self.warm_rate_per_weight * backend.entry.weight * settings.instance_count / gateway_count
         min_rate = MIN_BUDGET_IN_WINDOW / (settings.overload_window * gateway_count)
-        return max(min_rate, SAFETY_MARGIN * settings.overload_factor * min(1.0, capacity_share) * warm_rate)
+        return max(
+            min_rate, SAFE_LOAD_SHARE * settings.overload_factor * min(1.0, capacity_share) * warm_rate
+        )
--- a/ingress/decisions/subset.py
+++ b/ingress/decisions/subset.py
@@ -40,7 +40,7 @@
     def gateways_starting_at(self, index: int) -> list[int]:
         """Return the gateways whose first backend is the one at `index`."""
         backend_count = len(self.backends.names)
-        # A slot starts here if slot * backend_count // gateway_count == index; -(-a // b) rounds up.
+        # A slot starts at `index` if slot * backend_count // gateway_count == index; -(-a // b) rounds up.
         first_slot, end_slot = (
             -(-bound * self.gateway_count // backend_count) for bound in (index, index + 1)
         )
@@ -62,7 +62,7 @@
         )
         """Both rings; they hold the same backends in different orders."""
         self.gateway_counts: dict[str, int] = {}
-        """Results of `count_gateways_preferring` since the last update, by backend id."""
+        """Cached results of `count_gateways_preferring` since the last update, by backend id."""
 
     @property
     def backend_ids(self) -> list[str]:
@@ -73,10 +73,10 @@
         """Remove backends that are no longer ready from both rings, and add those that became ready."""
         removed_hashes = {backend_id: ring_hashes(backend_id) for backend_id in removed_ids}
         added_hashes = {backend_id: ring_hashes(backend_id) for backend_id in added_ids}
-        for number, ring in enumerate(self.rings):
+        for ring_index, ring in enumerate(self.rings):
             ring.backends.update(
-                {backend_id: hashes[number] for backend_id, hashes in removed_hashes.items()},
-                {backend_id: hashes[number] for backend_id, hashes in added_hashes.items()},
+                {backend_id: hashes[ring_index] for backend_id, hashes in removed_hashes.items()},
+                {backend_id: hashes[ring_index] for backend_id, hashes in added_hashes.items()},
             )
         self.gateway_counts.clear()
 
@@ -103,8 +103,11 @@
 
     def _compute_sizes_by_ring(self) -> tuple[int, int]:
         """Return how many backends of a subset come from the first ring and from the second."""
-        count = len(self.backend_ids)
-        size = min(max(SUBSET_SIZE, ceil(MIN_GATEWAYS_PER_BACKEND * count / self.instance_count)), count)
+        backend_count = len(self.backend_ids)
+        size = min(
+            max(SUBSET_SIZE, ceil(MIN_GATEWAYS_PER_BACKEND * backend_count / self.instance_count)),
+            backend_count,
+        )
         return size // 2, size - size // 2
 
     def _find_ids_after_slot(self, count: int) -> list[list[str]]:
@@ -132,11 +135,11 @@
     def _find_gateways_by_first_ring(self, index: int, size: int) -> set[int]:
         """Return the gateways that select the backend at `index` of the first ring from that ring."""
         ring = self.rings[0]
-        count = len(self.backend_ids)
+        backend_count = len(self.backend_ids)
         return {
             gateway
             for distance in range(size)
-            for gateway in ring.gateways_starting_at((index - distance) % count)
+            for gateway in ring.gateways_starting_at((index - distance) % backend_count)
         }
 
     def _find_gateways_by_second_ring(self, index: int, first_size: int, second_size: int) -> set[int]:
@@ -146,14 +149,17 @@
         selects as many further ones instead.
         """
         first, second = self.rings
-        count = len(self.backend_ids)
+        backend_count = len(self.backend_ids)
         gateways: set[int] = set()
-        passed_indexes: list[int] = []  # on the first ring, of the backends between a slot and `index`
+        passed_indexes: list[int] = []  # indexes on the first ring of the backends from `start` to `index`
         for distance in range(first_size + second_size):
-            start = (index - distance) % count
+            start = (index - distance) % backend_count
             for gateway in second.gateways_starting_at(start):
                 first_start = first.first_backend_index(gateway)
-                skipped_count = sum((passed - first_start) % count < first_size for passed in passed_indexes)
+                skipped_count = sum(
+                    (passed_index - first_start) % backend_count < first_size
+                    for passed_index in passed_indexes
+                )
                 if distance - skipped_count < second_size:
                     gateways.add(gateway)
             preceding_id = second.backends.names[start - 1]
--- a/ingress/errors.py
+++ b/ingress/errors.py
@@ -4,4 +4,4 @@
 
 
 class IngressError(Exception):
-    """Base class of the errors caused from outside the program: by a peer, a client or the configuration."""
+    """Base class of errors with a cause outside the program: a client, a server or the configuration."""
--- a/ingress/event_queue.py
+++ b/ingress/event_queue.py
@@ -9,16 +9,16 @@
 
 
 class EventQueue:
-    """Queue that passes events to a handler in the order of arrival, never while it handles another event.
+    """Queue that passes events to a handler in the order of arrival, one at a time.
 
-    The actions that follow from one event may produce further events at once; these are queued until the
+    The actions that follow from one event may immediately produce further events; these are queued until the
     handler returns.
     """
 
     def __init__(self, handle: Callable[[Event], None]) -> None:
         self._handle = handle
         self._events: deque[Event] = deque()
-        self._is_draining = False
+        self._is_handling = False
 
     def feed(self, event: Event) -> None:
         """Handle the event and all events that it causes; only queue it if a call of `feed` is under way.
@@ -27,11 +27,11 @@
         handled by the next call.
         """
         self._events.append(event)
-        if self._is_draining:
+        if self._is_handling:
             return
-        self._is_draining = True
+        self._is_handling = True
         try:
             while self._events:
                 self._handle(self._events.popleft())
         finally:
-            self._is_draining = False
+            self._is_handling = False
--- a/ingress/gossip_codec.py
+++ b/ingress/gossip_codec.py
@@ -1,8 +1,8 @@
 """Encode and decode the gossip messages in which gateways report their customers' usage to each other.
 
-A message is a line of text.  It holds the time at which the sender's process started (Unix ms) and, for each
-customer, the hash of its key and the running total of its usage since then, in tenths of a unit, for example
-`1733115600123 5be2a07c:40 1f03aa5c:125`.
+A message is a line of text, for example `1733115600123 5be2a07c:40 1f03aa5c:125`.  It holds the time at which
+the sender's process started (Unix ms) and, for each customer, the hash of the customer's key and the running
+total of the customer's usage since then, in tenths of a unit.
 """
 
 from __future__ import annotations
@@ -38,7 +38,9 @@
     try:
         incarnation, *items = text.split()
         pairs = [item.split(":") for item in items]
-        totals = tuple((int(customer, 16), int(total) / TENTHS_PER_UNIT) for customer, total in pairs)
+        totals = tuple(
+            (int(customer_hash, 16), int(total) / TENTHS_PER_UNIT) for customer_hash, total in pairs
+        )
         return UseReport(int(incarnation), totals)
     except ValueError:
         return None
--- a/ingress/interface/actions.py
+++ b/ingress/interface/actions.py
@@ -34,7 +34,7 @@
 class Reject:
     """Send the final answer "rejected".
 
-    It guarantees to the client that a retry is safe: the request was not executed, or is idempotent.
+    The answer guarantees to the client that a retry is safe: the request was not executed, or is idempotent.
     """
 
     id: str
--- a/ingress/interface/events.py
+++ b/ingress/interface/events.py
@@ -14,13 +14,13 @@
     """How an attempt, a health check or a call to the shared counter ended."""
 
     OK = "ok"
-    """The peer answered without an error."""
+    """The backend or the counter answered without an error."""
     ERROR = "error"
-    """The peer answered with an error, but may have executed the request."""
+    """The backend or the counter answered with an error, but may have executed the request."""
     REJECTED = "full"
-    """The peer rejected the request without executing it."""
+    """The backend or the counter rejected the request without executing it."""
     TIMEOUT = "timeout"
-    """No answer came in time; the peer may have executed the request or may still execute it."""
+    """No answer came in time; the request may have been executed or may still be executed."""
     CONNECT_FAILED = "connect_failed"
     """No connection was established, or it closed before the attempt was completely written."""
     RESET = "reset"
@@ -28,7 +28,7 @@
     CANCELLED = "cancelled"
     """This gateway cancelled the attempt."""
     SUPERSEDED = "moot"
-    """The attempt was not sent: it was no longer needed, or the host had no means to send it in time."""
+    """The attempt was not sent: it was no longer needed, or the host could not send it in time."""
 
     @property
     def proves_not_executed(self) -> bool:
@@ -67,7 +67,7 @@
     assigned_instances: int = 1
     """Number of gateways that receive the customer's requests."""
     first_instance: int = 0
-    """Index of the first of these gateways; the others have the next indices, from the last on to 0."""
+    """Index of the first of these gateways; the others have the next indices, wrapping around to 0."""
     is_client_retry: bool = False
     """Whether the client marked the request as a retry."""
     is_write: bool = False
@@ -83,7 +83,7 @@
     attempt: int
     """Number of the attempt, from 0."""
     backend: str
-    """Id of the backend that it was sent to."""
+    """Id of the backend that the attempt was sent to."""
     latency: float = 0.0
     """Seconds since the attempt was sent."""
 
@@ -97,7 +97,7 @@
     attempt: int
     """Number of the attempt, from 0."""
     backend: str
-    """Id of the backend that it was sent to."""
+    """Id of the backend that the attempt was sent to."""
     outcome: Outcome
     latency: float = 0.0
     """Seconds since the attempt was sent."""
--- a/ingress/interface/settings.py
+++ b/ingress/interface/settings.py
@@ -15,15 +15,15 @@
     """Whether a request of a class may be executed more than once."""
 
     IDEMPOTENT = "safe"
-    """It may be executed any number of times."""
+    """The request may be executed any number of times."""
     KEYED = "keyed"
-    """It has an idempotency key, by which backends deduplicate it for a limited time."""
+    """The request has an idempotency key, by which backends deduplicate it for a limited time."""
     NOT_IDEMPOTENT = "unsafe"
-    """It must be executed at most once."""
+    """The request must be executed at most once."""
 
 
 class DeduplicationScope(Enum):
-    """Which backends deduplicate a request that another backend has executed, by its idempotency key."""
+    """Which backends recognize, by its idempotency key, a request that another backend has executed."""
 
     ALL = "all"
     """All backends."""
@@ -131,7 +131,7 @@
     zone: str = ""
     """Name of the zone that this gateway runs in."""
     tick: float = 0.001
-    """Seconds between two steps of a gateway: the resolution of all times."""
+    """Resolution of all times, in seconds."""
     answer_slack: float = 0.0
     """Seconds after a client's deadline for which a final answer still counts."""
     drain_grace: float = 0.0
--- a/ingress/simulator/adapter.py
+++ b/ingress/simulator/adapter.py
@@ -1,7 +1,7 @@
 """Connect `Gateway` instances to the simulator, through standard input and output.
 
-Each line of the input is a JSON message.  The messages come in batches; a batch has a time, at which all its
-messages arrive, and the adapter writes the replies to it once it has read the whole batch.  A malformed line
+Each line of the input is a JSON message.  The messages come in batches.  All messages of a batch arrive at
+the batch's time, and the adapter writes the replies after it has read the last of them.  A malformed line
 ends the program with an error message that says what is wrong.
 """
 
@@ -53,8 +53,8 @@
                 continue
             try:
                 replies.extend(self._execute(now, command.instance, command))
-            # Any exception here is a bug in the decision module.  It is reported to the simulator, which
-            # stops and prints the report.
+            # Any exception here is a bug in the decision module.  The simulator stops and prints the report
+            # of the bug.
             except Exception as error:  # noqa: BLE001
                 reason = f"{type(error).__name__}: {error} at {now} on {message['m']}"
                 replies.append(encode_fault(command.instance, reason))
@@ -62,9 +62,9 @@
         return replies
 
     def _decode_or_apply(self, message: Message) -> StartInstance | DeliverEvent | None:
-        """Decode a message; return its command if it is one for a gateway.
+        """Decode a message, and return the command if a gateway has to start or handle an event.
 
-        Store an endpoint list or remove a stopped gateway here, and return None.
+        Carry out other commands, which store an endpoint list or stop a gateway, and return None for them.
         """
         try:
             command = decode_command(message, self._snapshots)
--- a/tests/decisions/test_balancer_cost.py
+++ b/tests/decisions/test_balancer_cost.py
@@ -32,31 +32,31 @@
     return int(pstats.Stats(profile).total_calls)  # type: ignore[attr-defined]
 
 
-def create_warmed_up_gateway(settings: Settings, count: int) -> tuple[Gateway, float]:
-    """Return a gateway with `count` backends that has served 100 requests, and the current time (s)."""
+def create_warmed_up_gateway(settings: Settings, backend_count: int) -> tuple[Gateway, float]:
+    """Return a gateway with `backend_count` backends after 100 requests, and the current time (s)."""
     now = 100.0
     gateway = Gateway(settings, 1)
-    gateway.handle(now, EndpointUpdate(EndpointUpdateKind.RESTORED, make_backends(count)))
+    gateway.handle(now, EndpointUpdate(EndpointUpdateKind.RESTORED, make_backends(backend_count)))
     for number in range(100):
         now += 0.01
         serve_request(gateway, now, f"w{number}")
     return gateway, now
 
 
-def serve_request(gateway: Gateway, now: float, name: str) -> None:
-    """Send a request with the id `name` and answer its attempts, all at the time `now`."""
-    for sent in find_sent_attempts(gateway.handle(now, Request(name, "read", "basic", "c", 4.0))):
+def serve_request(gateway: Gateway, now: float, request_id: str) -> None:
+    """Send a request with the id `request_id` and answer its attempts, all at the time `now`."""
+    for sent in find_sent_attempts(gateway.handle(now, Request(request_id, "read", "basic", "c", 4.0))):
         gateway.handle(now, AttemptEnded(sent.id, 0, sent.backend, Outcome.OK, 0.05, True))
 
 
 @pytest.mark.parametrize("gateways", [400, 3400])
 def test_cost_of_a_request_does_not_grow_with_the_number_of_backends(gateways: int) -> None:
     costs = {}
-    for count in (200, 20_000):
+    for backend_count in (200, 20_000):
         gateway, now = create_warmed_up_gateway(
-            replace(MANY_GATEWAYS_SETTINGS, instance_count=gateways), count
+            replace(MANY_GATEWAYS_SETTINGS, instance_count=gateways), backend_count
         )
-        costs[count] = [
+        costs[backend_count] = [
             count_calls(lambda gateway=gateway, now=now, n=n: serve_request(gateway, now, f"r{n}"))  # type: ignore[misc]
             for n in range(40)
         ]
@@ -69,15 +69,15 @@
     gateway, now = create_warmed_up_gateway(MANY_GATEWAYS_SETTINGS, 20_000)
     for backend in gateway.balancer.candidates:
         backend.record_failure(now, Outcome.CONNECT_FAILED, 60.0)
-    compared = MAX_COMPARED + MAX_FALLBACK_COMPARED + MAX_SAMPLED_READY
-    assert count_calls(lambda: serve_request(gateway, now, "r")) < 15 * compared + 1000
+    max_compared_count = MAX_COMPARED + MAX_FALLBACK_COMPARED + MAX_SAMPLED_READY
+    assert count_calls(lambda: serve_request(gateway, now, "r")) < 15 * max_compared_count + 1000
 
 
 def test_cost_of_a_changed_entry_does_not_grow_with_the_number_of_backends() -> None:
     costs = []
-    for gateways, count in ((40, 200), (3400, 20_000)):
+    for gateways, backend_count in ((40, 200), (3400, 20_000)):
         gateway, now = create_warmed_up_gateway(
-            replace(MANY_GATEWAYS_SETTINGS, instance_count=gateways), count
+            replace(MANY_GATEWAYS_SETTINGS, instance_count=gateways), backend_count
         )
         change = EndpointUpdate(EndpointUpdateKind.UPDATE, (Backend("new"),))
         costs.append(count_calls(lambda gateway=gateway, now=now, change=change: gateway.handle(now, change)))  # type: ignore[misc]
--- a/tests/decisions/test_fallback.py
+++ b/tests/decisions/test_fallback.py
@@ -38,7 +38,7 @@
     subset = list(harness.gateway.balancer.subset)
     for backend in subset:
         backend.record_failure(harness.now, Outcome.CONNECT_FAILED, 60.0)
-        backend.attempts_in_flight["other", 0] = harness.now  # the one attempt that may probe it
+        backend.attempts_in_flight["other", 0] = harness.now  # the single attempt that may probe the backend
     sent = find_sent_attempts(harness.deliver_request(0.01))
     assert sent
     assert sent[0].backend not in {b.entry.id for b in subset}
@@ -152,7 +152,7 @@
 
 
 def select_zone_a(gateway: Gateway) -> set[str]:
-    return {name for name, info in gateway.balancer.ready_backends.items() if info.zone == "a"}
+    return {name for name, entry in gateway.balancer.ready_backends.items() if entry.zone == "a"}
 
 
 @pytest.mark.parametrize(
@@ -161,12 +161,14 @@
 def test_requests_are_served_by_others_if_the_whole_subset_stops_answering(
     gateways: int, count: int, rate: float, min_share: float
 ) -> None:
-    """Guard against taking attempts that hang for an overload.
+    """Guard against mistaking attempts without an answer for an overload.
 
     At 20 requests per second, this mistake led to seconds in which all requests were rejected.
     """
-    shares = [SilentBackendsScenario(gateways, count, rate, seed).run(select_subset) for seed in (1, 2)]
-    assert min(shares) >= min_share
+    answered_shares = [
+        SilentBackendsScenario(gateways, count, rate, seed).run(select_subset) for seed in (1, 2)
+    ]
+    assert min(answered_shares) >= min_share
 
 
 @pytest.mark.parametrize(
@@ -175,8 +177,10 @@
 def test_requests_are_served_by_other_zones_if_one_zone_stops_answering(
     gateways: int, count: int, rate: float, min_share: float
 ) -> None:
-    shares = [SilentBackendsScenario(gateways, count, rate, seed).run(select_zone_a) for seed in (1, 2)]
-    assert min(shares) >= min_share
+    answered_shares = [
+        SilentBackendsScenario(gateways, count, rate, seed).run(select_zone_a) for seed in (1, 2)
+    ]
+    assert min(answered_shares) >= min_share
 
 
 def test_overload_sends_one_exploratory_attempt_at_a_time_to_the_reserve() -> None:
--- a/tests/decisions/test_outlier_ejection.py
+++ b/tests/decisions/test_outlier_ejection.py
@@ -36,8 +36,8 @@
 def test_pause_doubles_for_a_backend_that_rejects_all_requests() -> None:
     """Guard against sending most requests to a backend that rejects all of them.
 
-    A backend that drains before the endpoint list says so rejects at once and therefore looks idle.  Such a
-    backend has received a third of all attempts.
+    A backend that drains before the endpoint list says so rejects requests immediately and therefore looks
+    idle.  Such a backend has received a third of all attempts.
     """
     backend = TrackedBackend(BACKENDS[0], 0.0)
     backend.concurrency_limit.mean_latency_share = BUSY_LATENCY_SHARE / 2
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -10,7 +10,7 @@
 from ingress.decisions import Gateway
 from ingress.decisions.candidate_set import CandidateSet
 from ingress.decisions.request import PendingRequest
-from ingress.decisions.slow_start import MIN_BUDGET_IN_WINDOW, SAFETY_MARGIN, SlowStart
+from ingress.decisions.slow_start import MIN_BUDGET_IN_WINDOW, SAFE_LOAD_SHARE, SlowStart
 from ingress.interface import AttemptEnded, Backend, EndpointUpdate, EndpointUpdateKind, Outcome, Request
 from tests.support.gateway import (
     BACKENDS,
@@ -50,7 +50,7 @@
     slow_start.allows(cold, NOW + 4.0, 1.0)
     warm_rate = 10.0 / (2.0 * 3 / 3) * 2.0
     capacity_share = 0.2 + 0.8 * 4.0 / 8.0
-    expected = SAFETY_MARGIN * SINGLE_GATEWAY_SETTINGS.overload_factor * capacity_share * warm_rate
+    expected = SAFE_LOAD_SHARE * SINGLE_GATEWAY_SETTINGS.overload_factor * capacity_share * warm_rate
     assert cold.slow_start_budget.rate == pytest.approx(expected)
 
 
@@ -130,10 +130,10 @@
     fleet = tuple(Backend(f"b{n}") for n in range(20))
     send_times: list[float] = []
     interval = 0.5  # s between two requests of a gateway: 400 per second in all, 20 per warm backend
-    for number in range(200):
+    for gateway_index in range(200):
         gateway, now = (
-            Gateway(replace(settings, instance_index=number), number),
-            100.0 + number / 200 * interval,
+            Gateway(replace(settings, instance_index=gateway_index), gateway_index),
+            100.0 + gateway_index / 200 * interval,
         )
         gateway.handle(now, EndpointUpdate(EndpointUpdateKind.RESTORED, fleet))
         for n in range(70):
@@ -146,23 +146,27 @@
                 send_times += [now] if sent.backend == "cold" else []
                 gateway.handle(now + 0.1, AttemptEnded(sent.id, 0, sent.backend, Outcome.OK, 0.1, True))
     first_send_at = min(send_times)
-    for n in range(8):
-        sent_count = sum(first_send_at + n <= t < first_send_at + n + 1 for t in send_times)
-        share = SETTINGS.slow_start_initial_share + (1 - SETTINGS.slow_start_initial_share) * n / 10
-        assert 0 < sent_count < 20 * SETTINGS.overload_factor * share * SETTINGS.overload_window * 1.1
+    for second in range(8):
+        sent_count = sum(first_send_at + second <= t < first_send_at + second + 1 for t in send_times)
+        capacity_share = (
+            SETTINGS.slow_start_initial_share + (1 - SETTINGS.slow_start_initial_share) * second / 10
+        )
+        assert (
+            0 < sent_count < 20 * SETTINGS.overload_factor * capacity_share * SETTINGS.overload_window * 1.1
+        )
 
 
 def test_budget_is_divided_among_the_gateways_with_the_backend_in_their_subset() -> None:
     """Guard against dividing the budget among all gateways instead of those that send to the backend.
 
-    Only a sixth of the gateways here have the backend in their subset, so five sixths of the budget would
-    remain unused.
+    In this fleet only a sixth of the gateways have the backend in their subset, so five sixths of the budget
+    would remain unused.
     """
     settings = replace(SETTINGS, instance_count=40, slow_start_duration=10.0)
     fleet = (*(Backend(f"b{n}") for n in range(59)), Backend("cold", started=100.0))
     rates, gateway_counts = [], set[int]()
-    for number in range(40):
-        harness = GatewayHarness(replace(settings, instance_index=number), fleet)
+    for gateway_index in range(40):
+        harness = GatewayHarness(replace(settings, instance_index=gateway_index), fleet)
         [cold] = [b for b in harness.gateway.balancer.candidates if b.entry.id == "cold"]
         harness.deliver_request()
         harness.gateway.balancer.slow_start.answer_rate = 6.0
@@ -184,11 +188,11 @@
 
 def test_new_backend_outside_the_subset_gets_no_requests() -> None:
     fleet = (*(Backend(f"b{n}") for n in range(59)), Backend("cold", started=100.0))
-    for number in range(12):
-        harness = GatewayHarness(replace(SETTINGS, instance_count=40, instance_index=number), fleet)
-        preferred = "cold" in {b.entry.id for b in harness.gateway.balancer.subset}
+    for gateway_index in range(12):
+        harness = GatewayHarness(replace(SETTINGS, instance_count=40, instance_index=gateway_index), fleet)
+        is_preferred = "cold" in {b.entry.id for b in harness.gateway.balancer.subset}
         [cold] = [b for b in harness.gateway.balancer.candidates if b.entry.id == "cold"]
         cold.slow_start_budget.level = 1.0
         for backend in harness.gateway.balancer.candidates:
             backend.set_limit(0.0 if backend is not cold else 1.0)  # no other backend has room
-        assert bool(find_sent_attempts(harness.deliver_request())) is preferred
+        assert bool(find_sent_attempts(harness.deliver_request())) is is_preferred
--- a/tests/decisions/test_subset.py
+++ b/tests/decisions/test_subset.py
@@ -13,11 +13,11 @@
 from tests.support.gateway import SETTINGS, GatewayHarness
 
 
-def compute_subsets(gateways: int, names: list[str]) -> list[list[str]]:
+def compute_subsets(gateway_count: int, names: list[str]) -> list[list[str]]:
     """Return the subset of each gateway."""
     subsets = []
-    for number in range(gateways):
-        subsetting = Subsetting(replace(SETTINGS, instance_count=gateways, instance_index=number))
+    for gateway_index in range(gateway_count):
+        subsetting = Subsetting(replace(SETTINGS, instance_count=gateway_count, instance_index=gateway_index))
         subsetting.update([], names)
         subsets.append(subsetting.compute_subset())
     return subsets
@@ -51,8 +51,8 @@
     fleet = tuple(Backend(f"10.0.0.{n}:9000", zone="ab"[n % 2]) for n in range(60))
     gateway_counts = dict.fromkeys((b.id for b in fleet), 0)
     added_count = 0
-    for number in range(100):
-        gateway = Gateway(replace(SETTINGS, instance_count=100, instance_index=number), 1)
+    for gateway_index in range(100):
+        gateway = Gateway(replace(SETTINGS, instance_count=100, instance_index=gateway_index), 1)
         gateway.handle(1.0, EndpointUpdate(EndpointUpdateKind.RESTORED, fleet))
         subset = [b.entry.id for b in gateway.balancer.subset]
         assert len(subset) == 12
@@ -73,9 +73,9 @@
     fleet = tuple(Backend(f"10.0.0.{n}:9000") for n in range(60))
     gateway_counts = dict.fromkeys((b.id for b in fleet), 0)
     reported_counts: list[dict[str, int]] = []
-    for number in range(40):
+    for gateway_index in range(40):
         balancer = GatewayHarness(
-            replace(SETTINGS, instance_count=40, instance_index=number), fleet
+            replace(SETTINGS, instance_count=40, instance_index=gateway_index), fleet
         ).gateway.balancer
         reported_counts.append(
             {
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -83,9 +83,11 @@
 
 def test_each_batch_gets_replies_and_unknown_keys_are_ignored() -> None:
     replies = serve_text(encode_two_batches())
-    assert [m["m"] for m in replies].count("Finished") == 2
-    assert {m["rid"] for m in replies if m["m"] in ("CallOut", "Decline")} == {f"r{n}" for n in range(30)}
-    assert all(m["ingress"] == 3 for m in replies if m["m"] != "Finished")
+    assert [reply["m"] for reply in replies].count("Finished") == 2
+    assert {reply["rid"] for reply in replies if reply["m"] in ("CallOut", "Decline")} == {
+        f"r{n}" for n in range(30)
+    }
+    assert all(reply["ingress"] == 3 for reply in replies if reply["m"] != "Finished")
 
 
 @pytest.mark.parametrize(
@@ -119,7 +121,7 @@
         raise RuntimeError("on purpose")
 
     monkeypatch.setattr("ingress.decisions.Gateway.handle", raise_error)
-    faults = [m for m in serve_text(encode_two_batches()) if m["m"] == "BailOut"]
+    faults = [reply for reply in serve_text(encode_two_batches()) if reply["m"] == "BailOut"]
     assert faults
     assert "on purpose" in str(faults[0]["reason-text"])
 
--- a/tests/support/definitions.py
+++ b/tests/support/definitions.py
@@ -39,7 +39,7 @@
 
 
 def _defines(scope: ast.Module | Definition, names: list[str]) -> bool:
-    """Return whether a scope defines the first name, the definition of that name the second, and so on."""
+    """Return whether a scope defines a nested name: `names` are its parts, such as a class and a member."""
     if not names:
         return True
     if len(names) == 1 and names[0] in _find_variable_names(scope):
--- a/tests/support/gateway.py
+++ b/tests/support/gateway.py
@@ -49,12 +49,12 @@
 
 
 class GatewayHarness:
-    """Harness that drives a gateway under test; it keeps the time and all actions so far."""
+    """Harness that drives a gateway under test, and records the time and all actions so far."""
 
     def __init__(self, settings: Settings = SETTINGS, backends: Iterable[Backend] = BACKENDS) -> None:
         self.now = 100.0
         self.gateway = Gateway(settings, 1)
-        self.request_count = 0  # requests so far; the id of the last one is `r` and this number
+        self.request_count = 0  # requests so far; the id of the latest is `r` followed by this number
         self.actions: list[Action] = []
         self.deliver_event(0.0, EndpointUpdate(EndpointUpdateKind.RESTORED, tuple(backends)))
 
--- a/tests/support/imports.py
+++ b/tests/support/imports.py
@@ -74,11 +74,14 @@
 
 
 def _find_reachable(graph: ImportGraph, start: str) -> set[str]:
-    """Return all modules that `start` imports, directly or indirectly; itself only if it is in a cycle."""
-    found: set[str] = set()
+    """Return all modules that `start` imports, directly or indirectly.
+
+    `start` itself is included if it is in a cycle.
+    """
+    reachable: set[str] = set()
     pending = [start]
     while pending:
-        new = graph.get(pending.pop(), set()) - found
-        found |= new
-        pending.extend(new)
-    return found
+        newly_reached = graph.get(pending.pop(), set()) - reachable
+        reachable |= newly_reached
+        pending.extend(newly_reached)
+    return reachable
--- a/tests/support/known_red.py
+++ b/tests/support/known_red.py
@@ -1,6 +1,6 @@
 """A pytest plugin that tolerates the failures listed in KNOWN-RED.txt, and prints the list.
 
-`scripts/check` loads it with `-p tests.support.known_red`; without it, pytest reports those tests as failed.
+`scripts/check` loads the plugin with `-p tests.support.known_red`; without it, these failures fail the run.
 Each line of the file has the form `test id: cause (issue)`, for example
 
     tests/process/test_restart.py::test_open_requests_are_answered: the answer comes 20 ms late (issue 12)
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -27,7 +27,7 @@
 
 
 async def wait_until(condition: Callable[[], object]) -> None:
-    """Wait until a condition holds.
+    """Wait until a condition is true.
 
     The function polls the condition, because most state of the code under test has no event to wait for.
     """
@@ -54,14 +54,14 @@
 
 
 class ScriptedServer:
-    """A server that runs `script` for each connection, with the number of the connection (from 0) first."""
+    """A server that runs `script` with the number (from 0), the reader and the writer of each connection."""
 
     def __init__(self, script: Callable[[int, Reader, Writer], Awaitable[None]], port: int = 0) -> None:
         self.script = script
         self.port = port
-        self.connection_count = 0  # connections accepted so far
+        self.connection_count = 0  # accepted so far
         self.ended_connection_count = 0  # how many of them have ended
-        self.received_commands: list[list[bytes]] = []  # received so far, as far as the script records them
+        self.received_commands: list[list[bytes]] = []  # as recorded by the script
         self.connection_tasks: set[asyncio.Task[None]] = set()
 
     async def __aenter__(self) -> Self:
@@ -107,7 +107,7 @@
 
 
 def encode_value_reply(text: bytes) -> bytes:
-    """Return the reply of a backend that holds this value, but no figures and no load report."""
+    """Return the reply of a backend that holds this value; the two other items of the reply are null."""
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(text), text)
 
 
--- a/tests/support/quota.py
+++ b/tests/support/quota.py
@@ -27,7 +27,7 @@
 
 
 def deliver_requests(harness: GatewayHarness, request_count: int, **changes: object) -> int:
-    """Deliver requests at the current time, answer each at once, and return how many were admitted."""
+    """Deliver requests at the current time, answer each immediately, and return how many were admitted."""
     admitted_count = 0
     for _ in range(request_count):
         attempts = find_sent_attempts(harness.deliver_request(0.0, **changes))
@@ -53,15 +53,16 @@
 
 
 def mark_counter_overloaded(harness: GatewayHarness) -> None:
-    """Set the gateway's state as if the counter were overloaded: it has just replied, but no request is
-    sampled.
+    """Set the gateway's state as if the counter were overloaded.
+
+    The counter has just replied successfully, and no request is sampled.
     """
     harness.gateway.counter.sampling.rate = 0.0
     harness.gateway.counter.last_success_at = harness.now
 
 
 def reply_to_counter_calls(harness: GatewayHarness, outcome: Outcome, total: float = 0.0) -> int:
-    """Reply to the calls to the counter in flight, answer the attempts that follow; return the call count."""
+    """Reply to the counter calls in flight, and answer the attempts sent then; return the call count."""
     count_names = list(harness.gateway.counter.calls.in_flight)
     for count_name in count_names:
         for attempt in find_sent_attempts(
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -33,7 +33,7 @@
 CONSTANT = re.compile(r"(?!EDGE_CONFIG)[A-Z][A-Z0-9]*(_[A-Z0-9]+)+")  # EDGE_CONFIG is an environment variable
 TEST_NAME = re.compile(r"(?P<name>[a-z0-9]+(_[a-z0-9]+){2,})(?P<cut>\.\.\.)?(\[[^\]]*\])?")
 LOG_ROW = re.compile(r"\| (?P<symptom>[^|]+) \| (?P<log>[^|]*`[^|]+) \| (?P<place>[^|]+) \|")
-ELLIPSIS = "…"  # stands for the variable parts of a log line
+ELLIPSIS = "…"  # replaces the variable parts of a cited log line
 LOG_METHODS = {"debug", "info", "warning", "error", "exception", "critical"}
 FIRST_FIELD = re.compile(r"\w+=%|%")  # end of the constant words of a log line
 
@@ -72,14 +72,14 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=get_page_name)
 def test_paths_cited_on_a_page_exist(page: Path) -> None:
-    paths = [
+    path_spans = [
         span
         for span in find_spans(page)
         if PATH.fullmatch(span.text) and not OPTIONAL_PATH.fullmatch(span.text)
     ]
     missing = [
         str(span)
-        for span in paths
+        for span in path_spans
         if not (ROOT / span.text).exists() and not (page.parent / span.text).exists()
     ]
     assert missing == []
@@ -88,24 +88,26 @@
 @pytest.mark.parametrize("page", PAGES, ids=get_page_name)
 def test_dotted_names_cited_on_a_page_exist(page: Path, definitions: Definitions) -> None:
     first_names = {"ingress", *definitions.part_names}
-    dotted = [
+    dotted_name_spans = [
         span
         for span in find_spans(page)
         if DOTTED_NAME.fullmatch(span.text)
         and not PATH.fullmatch(span.text)
         and span.text.split(".")[0] in first_names
     ]
-    assert [str(span) for span in dotted if not definitions.has_dotted_name(span.text)] == []
+    assert [str(span) for span in dotted_name_spans if not definitions.has_dotted_name(span.text)] == []
 
 
 @pytest.mark.parametrize("page", PAGES, ids=get_page_name)
 def test_classes_and_constants_cited_on_a_page_exist(page: Path, definitions: Definitions) -> None:
-    named = [
+    class_and_constant_spans = [
         span
         for span in find_spans(page)
         if CLASS_OR_MEMBER.fullmatch(span.text) or CONSTANT.fullmatch(span.text)
     ]
-    assert [str(span) for span in named if not definitions.has_name_in_any_module(span.text)] == []
+    assert [
+        str(span) for span in class_and_constant_spans if not definitions.has_name_in_any_module(span.text)
+    ] == []
 
 
 def test_tests_cited_on_the_crossings_page_exist() -> None:
