--- a/ingress/decisions/answer_times.py
+++ b/ingress/decisions/answer_times.py
@@ -42,7 +42,7 @@
         """Include a request of `units` in the mean size of a request."""
         self.mean_request_units += (units - self.mean_request_units) * SLOW_SMOOTHING_FACTOR
 
-    def expected_work(self, request: PendingRequest) -> float:
+    def estimate_work(self, request: PendingRequest) -> float:
         """Return the work that the request is expected to cause, as a multiple of a mean request's work."""
         mean = self.mean(request.request_class)
         means = self.mean_by_class.values() or [mean]
--- a/ingress/decisions/backend.py
+++ b/ingress/decisions/backend.py
@@ -11,7 +11,7 @@
 
 CROSS_ZONE_FACTOR = 1.1  # multiplies the load score of backends in other zones, as a tie-break
 MIN_RELATIVE_LATENCY = 0.2  # lower bound of a backend's latency over the mean, in the load score
-SILENCE_FOR_MEAN_LATENCY = 3.0  # a silence of this many mean answer times counts as a relative latency of 1
+SILENCE_PER_RELATIVE_LATENCY = 3.0  # mean answer times; this silence counts as a relative latency of 1
 RELATIVE_LATENCY_HALF_LIFE = 3  # longest latency objectives after which the effect of past answers is halved
 MIN_DIVISOR = 1e-6  # replaces a mean answer time or a weight of 0, to prevent a division by zero
 
@@ -134,14 +134,14 @@
         """Return whether the backend may get no attempt now, because of earlier failures or rejections."""
         return self.ejection.is_ejected(now, bool(self.attempts_in_flight))
 
-    def silence_duration(self, now: float) -> float:
+    def get_silence_duration(self, now: float) -> float:
         """Return for how many seconds the backend has had attempts in flight without answering any."""
         if not self.attempts_in_flight:
             return 0.0
         oldest_sent_at = next(iter(self.attempts_in_flight.values()))
         return now - max(self.last_answer_at, oldest_sent_at)
 
-    def load_score(
+    def compute_load_score(
         self, now: float, mean_answer_time: float, longest_objective: float, zone: str, tie_break: float
     ) -> float:
         """Return the expected load of the backend relative to its weight, as seen from `zone`.
@@ -154,7 +154,9 @@
         # again.
         half_lives = (now - self.last_answer_at) / (RELATIVE_LATENCY_HALF_LIFE * longest_objective)
         decay: float = 0.5**half_lives
-        silence = self.silence_duration(now) / max(mean_answer_time, MIN_DIVISOR) / SILENCE_FOR_MEAN_LATENCY
+        silence = (
+            self.get_silence_duration(now) / max(mean_answer_time, MIN_DIVISOR) / SILENCE_PER_RELATIVE_LATENCY
+        )
         latency = max(1.0 + (self.relative_latency - 1.0) * decay, silence, MIN_RELATIVE_LATENCY)
         zone_factor = CROSS_ZONE_FACTOR if zone != self.entry.zone else 1.0
         load = (len(self.attempts_in_flight) + tie_break) * latency
--- a/ingress/decisions/balancer.py
+++ b/ingress/decisions/balancer.py
@@ -35,7 +35,7 @@
         self.candidate_set = CandidateSet(settings, rng)
         """The backends that attempts may go to."""
         self.slow_start = SlowStart(settings, self.candidate_set)
-        """Limits the load on backends that warm up."""
+        """Limits the load on backends that are warming up."""
 
     @property
     def ready_backends(self) -> dict[str, api.Backend]:
@@ -95,7 +95,7 @@
         """Return whether the backend is warm, or its slow-start budget has room for the request's work."""
         if not backend.is_warming_up(now, self.settings):
             return True
-        return self.slow_start.allows(backend, now, self.answer_times.expected_work(request))
+        return self.slow_start.allows_request(backend, now, self.answer_times.estimate_work(request))
 
     def choose_backend(
         self, request: PendingRequest, now: float, is_exploratory: bool = False
@@ -136,7 +136,7 @@
         eligible = self._find_eligible_backends(request, now, usable, healthy_ids)
         chosen = self._find_least_loaded(request, now, eligible)
         if chosen is not None and chosen.is_warming_up(now, self.settings):
-            chosen.slow_start_budget.take_units(self.answer_times.expected_work(request))
+            chosen.slow_start_budget.take_units(self.answer_times.estimate_work(request))
         return chosen
 
     def _find_healthy_ids(self, backends: list[TrackedBackend], now: float) -> set[str]:
@@ -148,7 +148,9 @@
         longest_mean = max(self.answer_times.mean_by_class.values(), default=self.longest_objective)
         max_silence = STALL_FACTOR * longest_mean
         return {
-            b.entry.id for b in backends if b.silence_duration(now) <= max_silence and not b.is_ejected(now)
+            b.entry.id
+            for b in backends
+            if b.get_silence_duration(now) <= max_silence and not b.is_ejected(now)
         }
 
     def _find_eligible_backends(
@@ -170,7 +172,7 @@
             if skips_tried and backend_id in tried_ids:
                 continue
             # Answers decrease the limit of an overloaded backend, but such a backend may not answer at all.
-            if backend.silence_duration(now) > self.longest_objective:
+            if backend.get_silence_duration(now) > self.longest_objective:
                 backend.decrease_limit(now, DECREASE_INTERVAL_SHARE * self.longest_objective)
             if len(backend.attempts_in_flight) < backend.concurrency_limit.limit:
                 eligible.append(backend)
@@ -185,7 +187,7 @@
         mean_answer_time = self.answer_times.mean(request.request_class)
         for backend in eligible:
             tie_break = self.rng.expovariate(1.0)
-            score = backend.load_score(
+            score = backend.compute_load_score(
                 now, mean_answer_time, self.longest_objective, self.settings.zone, tie_break
             )
             if score < lowest_score and self.slow_start_allows(backend, now, request):
--- a/ingress/decisions/hash_ring.py
+++ b/ingress/decisions/hash_ring.py
@@ -9,7 +9,7 @@
 HASH_MASK = 0xFFFFFFFF  # 32 bits
 
 
-def ring_hashes(name: str) -> tuple[int, int]:
+def compute_ring_hashes(name: str) -> tuple[int, int]:
     """Return two hashes of a name, for two rings on which the names are in unrelated orders."""
     first = crc32(name.encode())
     return first, first * KNUTH_MULTIPLIER & HASH_MASK
@@ -27,7 +27,7 @@
         self.names: list[str] = []
         """The name at each index of `hashes`; names with equal hashes are sorted by name."""
 
-    def index_of(self, hash_value: int, name: str) -> int:
+    def find_index(self, hash_value: int, name: str) -> int:
         """Return the index of the name, or the index at which it would be inserted."""
         index = bisect_left(self.hashes, hash_value)
         while index < len(self.hashes) and self.hashes[index] == hash_value and self.names[index] < name:
@@ -49,16 +49,16 @@
 
     def _change_one_by_one(self, removed: dict[str, int], added: dict[str, int]) -> None:
         for name, hash_value in removed.items():
-            index = self.index_of(hash_value, name)
+            index = self.find_index(hash_value, name)
             del self.hashes[index]
             del self.names[index]
         for name, hash_value in added.items():
-            index = self.index_of(hash_value, name)
+            index = self.find_index(hash_value, name)
             self.hashes.insert(index, hash_value)
             self.names.insert(index, name)
 
-    def names_from(self, start: int, count: int) -> list[str]:
-        """Return up to `count` names from index `start` on, each once, wrapping around the end."""
+    def list_names_from(self, start: int, count: int) -> list[str]:
+        """Return up to `count` different names from index `start` on, wrapping around the end."""
         count = min(count, len(self.names))
         until_end = self.names[start : start + count]
         return until_end + self.names[: count - len(until_end)]
--- a/ingress/decisions/slow_start.py
+++ b/ingress/decisions/slow_start.py
@@ -13,7 +13,7 @@
 
 
 class SlowStart:
-    """Measures the answer rate of warm backends, and derives from it the budgets of those that warm up."""
+    """Derives the budgets of backends that are warming up from the answer rate of warm backends."""
 
     def __init__(self, settings: api.Settings, candidate_set: CandidateSet) -> None:
         self.settings = settings
@@ -34,8 +34,8 @@
         self.answer_rate = self.answer_rate * kept_share + 1.0 / window
         self.answered_at = now
 
-    def allows(self, backend: TrackedBackend, now: float, work: float) -> bool:
-        """Return whether a backend that warms up may get a request of `work` (in mean requests).
+    def allows_request(self, backend: TrackedBackend, now: float, work: float) -> bool:
+        """Return whether a backend that is warming up may get a request of `work` (in mean requests).
 
         A new backend is idle, so without this limit all gateways would choose it at the same time.  Only
         gateways that have it in their subset send to it, and each of them sends only its part of the load
@@ -65,7 +65,7 @@
             self.warm_rate_per_weight = self.answer_rate / (warm_weight * ready_per_candidate)
 
     def _compute_budget_rate(self, backend: TrackedBackend, now: float) -> float:
-        """Return the work per second that this gateway may send to a backend that warms up."""
+        """Return the work per second that this gateway may send to a backend that is warming up."""
         settings = self.settings
         age = now - backend.entry.started
         initial_share = settings.slow_start_initial_share
--- a/ingress/decisions/subset.py
+++ b/ingress/decisions/subset.py
@@ -10,7 +10,7 @@
 from math import ceil
 
 import ingress.interface as api
-from ingress.decisions.hash_ring import HashRing, ring_hashes
+from ingress.decisions.hash_ring import HashRing, compute_ring_hashes
 
 SUBSET_SIZE = 12  # backends: few enough to observe each of them often, enough to tolerate the loss of some
 MIN_GATEWAYS_PER_BACKEND = (
@@ -33,11 +33,11 @@
         self.slot_by_gateway = {gateway: slot for slot, gateway in enumerate(self.gateway_by_slot)}
         """Slot of each gateway, by the gateway's index."""
 
-    def first_backend_index(self, gateway: int) -> int:
+    def find_first_backend_index(self, gateway: int) -> int:
         """Return the index of the first backend that follows the slot of a gateway."""
         return self.slot_by_gateway[gateway] * len(self.backends.names) // self.gateway_count
 
-    def gateways_starting_at(self, index: int) -> list[int]:
+    def find_gateways_starting_at(self, index: int) -> list[int]:
         """Return the gateways whose first backend is the one at `index`."""
         backend_count = len(self.backends.names)
         # A slot starts at `index` if slot * backend_count // gateway_count == index; -(-a // b) rounds up.
@@ -55,7 +55,7 @@
         """Index of this gateway in its fleet."""
         self.instance_count = settings.instance_count
         """Number of gateways in the fleet."""
-        hashes = [ring_hashes(str(gateway)) for gateway in range(settings.instance_count)]
+        hashes = [compute_ring_hashes(str(gateway)) for gateway in range(settings.instance_count)]
         self.rings = (
             SubsetRing([first for first, _ in hashes]),
             SubsetRing([second for _, second in hashes]),
@@ -71,8 +71,8 @@
 
     def update(self, removed_ids: Iterable[str], added_ids: Iterable[str]) -> None:
         """Remove backends that are no longer ready from both rings, and add those that became ready."""
-        removed_hashes = {backend_id: ring_hashes(backend_id) for backend_id in removed_ids}
-        added_hashes = {backend_id: ring_hashes(backend_id) for backend_id in added_ids}
+        removed_hashes = {backend_id: compute_ring_hashes(backend_id) for backend_id in removed_ids}
+        added_hashes = {backend_id: compute_ring_hashes(backend_id) for backend_id in added_ids}
         for ring_index, ring in enumerate(self.rings):
             ring.backends.update(
                 {backend_id: hashes[ring_index] for backend_id, hashes in removed_hashes.items()},
@@ -113,7 +113,7 @@
     def _find_ids_after_slot(self, count: int) -> list[list[str]]:
         """Return for each ring the ids of up to `count` backends that follow this gateway's slot."""
         return [
-            ring.backends.names_from(ring.first_backend_index(self.instance_index), count)
+            ring.backends.list_names_from(ring.find_first_backend_index(self.instance_index), count)
             for ring in self.rings
         ]
 
@@ -126,8 +126,8 @@
         if first_size + second_size == len(self.backend_ids):
             return self.instance_count
         first_index, second_index = (
-            ring.backends.index_of(hash_value, backend_id)
-            for ring, hash_value in zip(self.rings, ring_hashes(backend_id), strict=True)
+            ring.backends.find_index(hash_value, backend_id)
+            for ring, hash_value in zip(self.rings, compute_ring_hashes(backend_id), strict=True)
         )
         gateways = self._find_gateways_by_first_ring(first_index, first_size)
         return len(gateways | self._find_gateways_by_second_ring(second_index, first_size, second_size))
@@ -139,7 +139,7 @@
         return {
             gateway
             for distance in range(size)
-            for gateway in ring.gateways_starting_at((index - distance) % backend_count)
+            for gateway in ring.find_gateways_starting_at((index - distance) % backend_count)
         }
 
     def _find_gateways_by_second_ring(self, index: int, first_size: int, second_size: int) -> set[int]:
@@ -154,8 +154,8 @@
         passed_indexes: list[int] = []  # indexes on the first ring of the backends from `start` to `index`
         for distance in range(first_size + second_size):
             start = (index - distance) % backend_count
-            for gateway in second.gateways_starting_at(start):
-                first_start = first.first_backend_index(gateway)
+            for gateway in second.find_gateways_starting_at(start):
+                first_start = first.find_first_backend_index(gateway)
                 skipped_count = sum(
                     (passed_index - first_start) % backend_count < first_size
                     for passed_index in passed_indexes
@@ -163,5 +163,7 @@
                 if distance - skipped_count < second_size:
                     gateways.add(gateway)
             preceding_id = second.backends.names[start - 1]
-            passed_indexes.append(first.backends.index_of(ring_hashes(preceding_id)[0], preceding_id))
+            passed_indexes.append(
+                first.backends.find_index(compute_ring_hashes(preceding_id)[0], preceding_id)
+            )
         return gateways
--- a/tests/decisions/test_answer_times.py
+++ b/tests/decisions/test_answer_times.py
@@ -13,7 +13,7 @@
     answer_times = harness.gateway.answer_times
     answer_times.mean_by_class = {"read": 0.1, "order": 0.1, "pay": 0.4}
     assert find_sent_attempts(harness.deliver_request(request_class="pay"))
-    assert answer_times.expected_work(harness.gateway.requests["r1"]) == pytest.approx(2.0)
+    assert answer_times.estimate_work(harness.gateway.requests["r1"]) == pytest.approx(2.0)
 
 
 def test_mean_before_the_first_answer_is_a_fraction_of_the_objective() -> None:
--- a/tests/decisions/test_backend.py
+++ b/tests/decisions/test_backend.py
@@ -19,7 +19,7 @@
 
 def compute_score(backend: TrackedBackend, now: float = NOW, zone: str = "a") -> float:
     """Return the load score for a mean answer time of 0.1 s and a tie-break of 1."""
-    return backend.load_score(now, 0.1, LONGEST_OBJECTIVE, zone, 1.0)
+    return backend.compute_load_score(now, 0.1, LONGEST_OBJECTIVE, zone, 1.0)
 
 
 def test_score_of_an_idle_backend_is_the_tie_break_divided_by_its_weight() -> None:
@@ -36,19 +36,19 @@
     backend = TrackedBackend(Backend("b", "a"), NOW)
     backend.attempts_in_flight["r", 0] = NOW
     assert compute_score(backend) == 2.0
-    assert backend.silence_duration(NOW + 0.6) == pytest.approx(0.6)
-    # 0.6 s are 6 mean answer times, which are divided by SILENCE_FOR_MEAN_LATENCY.
+    assert backend.get_silence_duration(NOW + 0.6) == pytest.approx(0.6)
+    # 0.6 s are 6 mean answer times, which are divided by SILENCE_PER_RELATIVE_LATENCY.
     assert compute_score(backend, NOW + 0.6) == pytest.approx(2.0 * 2.0)
 
 
 def test_silence_starts_at_the_last_answer_or_the_oldest_attempt() -> None:
     backend = TrackedBackend(Backend("b"), NOW)
-    assert backend.silence_duration(NOW + 9.0) == 0.0
+    assert backend.get_silence_duration(NOW + 9.0) == 0.0
     backend.attempts_in_flight["r", 0] = NOW + 2.0
     backend.attempts_in_flight["r", 1] = NOW + 5.0
-    assert backend.silence_duration(NOW + 9.0) == pytest.approx(7.0)
+    assert backend.get_silence_duration(NOW + 9.0) == pytest.approx(7.0)
     backend.record_answer(NOW + 6.0, 0.1, 0.1, 1.0)
-    assert backend.silence_duration(NOW + 9.0) == pytest.approx(3.0)
+    assert backend.get_silence_duration(NOW + 9.0) == pytest.approx(3.0)
 
 
 def test_effect_of_an_old_latency_is_halved_after_its_half_life() -> None:
--- a/tests/decisions/test_candidate_set.py
+++ b/tests/decisions/test_candidate_set.py
@@ -20,9 +20,9 @@
 def test_subset_is_unchanged_while_the_same_backends_are_ready() -> None:
     fleet = tuple(Backend(f"b{n}") for n in range(40))
     balancer = GatewayHarness(UNLIMITED_SETTINGS, fleet).gateway.balancer
-    before = balancer.subset
+    initial_subset = balancer.subset
     balancer.apply_update(EndpointUpdate(EndpointUpdateKind.UPDATE, (Backend("b3", started=5.0),)), 6.0)
-    assert balancer.subset is before
+    assert balancer.subset is initial_subset
     balancer.apply_update(EndpointUpdate(EndpointUpdateKind.REPLACE, fleet[:30]), 7.0)
     assert {b.entry.id for b in balancer.subset} <= {b.id for b in fleet[:30]}
 
@@ -34,12 +34,12 @@
     harness.deliver_event(1.0, EndpointUpdate(EndpointUpdateKind.UPDATE, removed_entries))
     assert all(b.entry.zone != "a" for b in harness.gateway.balancer.candidates)
     assert len(list_answering_backends(harness, lambda name: False, 50)) == 50
-    before = [
+    initial_ids = [
         b.entry.id
         for b in GatewayHarness(MANY_GATEWAYS_SETTINGS, make_backends(3000)).gateway.balancer.subset
     ]
     harness.deliver_event(1.0, EndpointUpdate(EndpointUpdateKind.UPDATE, tuple(zone_backends)))
-    assert [b.entry.id for b in harness.gateway.balancer.subset] == before
+    assert [b.entry.id for b in harness.gateway.balancer.subset] == initial_ids
 
 
 def test_attempt_at_a_former_candidate_is_removed_when_it_ends() -> None:
@@ -96,8 +96,8 @@
     harness = GatewayHarness()
     leaving = tuple(replace(b, readiness=readiness) for b in BACKENDS[:3])
     harness.deliver_event(0.0, EndpointUpdate(EndpointUpdateKind.UPDATE, leaving))
-    targets = {s.backend for _ in range(12) for s in find_sent_attempts(harness.deliver_request(0.5))}
-    assert targets == {"b3"}
+    attempted_ids = {s.backend for _ in range(12) for s in find_sent_attempts(harness.deliver_request(0.5))}
+    assert attempted_ids == {"b3"}
 
 
 def test_complete_list_removes_unlisted_backends_and_adds_listed_ones() -> None:
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -30,10 +30,10 @@
         backend.set_limit(20.0)
     for _ in range(40):
         harness.deliver_request(0.0)
-    initial_sum = sum(b.limit for b in harness.gateway.balancer.tracked_backends.values())
+    initial_limit_sum = sum(b.limit for b in harness.gateway.balancer.tracked_backends.values())
     for _ in range(20):
         harness.deliver_request(0.5)
-    assert sum(b.limit for b in harness.gateway.balancer.tracked_backends.values()) < initial_sum / 2
+    assert sum(b.limit for b in harness.gateway.balancer.tracked_backends.values()) < initial_limit_sum / 2
 
 
 def test_lost_attempt_does_not_decrease_the_limit_while_others_are_answered() -> None:
--- a/tests/decisions/test_slow_start.py
+++ b/tests/decisions/test_slow_start.py
@@ -47,7 +47,7 @@
     )
     slow_start.answer_rate = 10.0
     cold = slow_start.candidate_set.tracked_backends["cold"]
-    slow_start.allows(cold, NOW + 4.0, 1.0)
+    slow_start.allows_request(cold, NOW + 4.0, 1.0)
     warm_rate = 10.0 / (2.0 * 3 / 3) * 2.0
     capacity_share = 0.2 + 0.8 * 4.0 / 8.0
     expected = SAFE_LOAD_SHARE * SINGLE_GATEWAY_SETTINGS.overload_factor * capacity_share * warm_rate
@@ -58,7 +58,7 @@
     slow_start = create_slow_start(Backend("warm"), *(Backend(f"cold{n}", started=NOW) for n in range(2)))
     slow_start.answer_rate = 10.0
     slow_start.warm_rate_per_weight = 3.0
-    slow_start.allows(slow_start.candidate_set.tracked_backends["cold0"], NOW + 1.0, 1.0)
+    slow_start.allows_request(slow_start.candidate_set.tracked_backends["cold0"], NOW + 1.0, 1.0)
     assert slow_start.warm_rate_per_weight == 3.0
 
 
@@ -66,9 +66,9 @@
     slow_start = create_slow_start(Backend("warm"), Backend("cold", started=NOW))
     cold = slow_start.candidate_set.tracked_backends["cold"]
     cold.slow_start_budget.level = 0.0
-    assert not slow_start.allows(cold, NOW, 1.0)
+    assert not slow_start.allows_request(cold, NOW, 1.0)
     assert cold.slow_start_budget.rate == MIN_BUDGET_IN_WINDOW / SINGLE_GATEWAY_SETTINGS.overload_window
-    assert slow_start.allows(cold, NOW + 3.0, 1.0)
+    assert slow_start.allows_request(cold, NOW + 3.0, 1.0)
 
 
 def test_attempts_in_flight_are_limited_to_the_budget_of_one_second() -> None:
@@ -76,9 +76,9 @@
     cold = slow_start.candidate_set.tracked_backends["cold"]
     cold.slow_start_budget.level = 1.0
     slow_start.candidate_set.add_attempt(cold, ("r", 0), NOW)
-    assert not slow_start.allows(cold, NOW, 1.0)
+    assert not slow_start.allows_request(cold, NOW, 1.0)
     slow_start.candidate_set.remove_attempt(cold, ("r", 0))
-    assert slow_start.allows(cold, NOW, 1.0)
+    assert slow_start.allows_request(cold, NOW, 1.0)
 
 
 def record_sends_to_cold(harness: GatewayHarness, seconds: float, interval: float) -> list[float]:
--- a/tests/support/definitions.py
+++ b/tests/support/definitions.py
@@ -22,9 +22,9 @@
         }
         self.part_names = {name.split(".")[1] for name in self.modules if "." in name}
 
-    def has_dotted_name(self, dotted: str) -> bool:
-        """Return whether `dotted`, with or without the package, is a module or a name defined in one."""
-        parts = dotted.split(".")
+    def has_dotted_name(self, dotted_name: str) -> bool:
+        """Return whether `dotted_name`, with or without the package, is a module or a name defined in one."""
+        parts = dotted_name.split(".")
         if parts[0] != self.package:
             parts = [self.package, *parts]
         for length in range(len(parts), 0, -1):
@@ -33,9 +33,9 @@
                 return _defines(module, parts[length:])
         return False
 
-    def has_name_in_any_module(self, dotted: str) -> bool:
-        """Return whether any module defines `dotted`: a name, or a class and a member after a dot."""
-        return any(_defines(module, dotted.split(".")) for module in self.modules.values())
+    def has_name_in_any_module(self, dotted_name: str) -> bool:
+        """Return whether any module defines `dotted_name`, such as a class or a member of a class."""
+        return any(_defines(module, dotted_name.split(".")) for module in self.modules.values())
 
 
 def _defines(scope: ast.Module | Definition, names: list[str]) -> bool:
@@ -44,8 +44,10 @@
         return True
     if len(names) == 1 and names[0] in _find_variable_names(scope):
         return True
-    inner = [node for node in scope.body if isinstance(node, Definition) and node.name == names[0]]
-    return any(_defines(node, names[1:]) for node in inner)
+    matching_definitions = [
+        node for node in scope.body if isinstance(node, Definition) and node.name == names[0]
+    ]
+    return any(_defines(node, names[1:]) for node in matching_definitions)
 
 
 def _find_variable_names(scope: ast.Module | Definition) -> set[str]:
--- a/tests/support/ingress.py
+++ b/tests/support/ingress.py
@@ -57,7 +57,7 @@
 
 
 class ScriptedGateway:
-    """A decision module that returns the actions that `choose_actions` returns for an event."""
+    """A decision module whose actions a function of the test chooses; it records the events."""
 
     def __init__(self, choose_actions: ActionChooser | None) -> None:
         self.choose_actions = choose_actions
@@ -65,7 +65,7 @@
         self.actions: list[api.Action] = []
 
     def handle(self, now: float, event: api.Event) -> list[api.Action]:
-        """Record the event, and return its actions."""
+        """Record the event, and return the actions that `choose_actions` chooses."""
         self.events.append(event)
         self.actions = []
         self.actions += self.choose_actions(event) if self.choose_actions else []
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -230,7 +230,7 @@
 def make_config_text(
     *servers: dict[str, Any], listen: str = "127.0.0.1:0", discovery: str = "127.0.0.1:1", **changes: Any
 ) -> str:
-    """Return the text of a configuration file that knows the servers.
+    """Return the text of a configuration file whose known endpoint list has the entries `servers`.
 
     `changes` override keys of the file; None removes the key.
     """
@@ -247,5 +247,5 @@
 
 
 def make_config(*servers: dict[str, Any], **changes: Any) -> Config:
-    """Return a configuration that knows the servers; `changes` override keys of its file."""
+    """Return the configuration from the file that `make_config_text` returns for the same arguments."""
     return read_config(make_config_text(*servers, **changes))
--- a/tests/support/process.py
+++ b/tests/support/process.py
@@ -78,7 +78,7 @@
 ) -> AsyncIterator[tuple[asyncio.subprocess.Process, Address]]:
     """Run the program; once it listens, yield the process and its address.
 
-    The configuration knows the servers, and `changes` override its keys.
+    `servers` and `changes` are passed to `make_config_text`.
     """
     address = ("127.0.0.1", find_free_port())
     text = make_config_text(*servers, listen=f"127.0.0.1:{address[1]}", **changes)
--- a/tests/test_docs.py
+++ b/tests/test_docs.py
@@ -87,13 +87,13 @@
 
 @pytest.mark.parametrize("page", PAGES, ids=get_page_name)
 def test_dotted_names_cited_on_a_page_exist(page: Path, definitions: Definitions) -> None:
-    first_names = {"ingress", *definitions.part_names}
+    first_components = {"ingress", *definitions.part_names}
     dotted_name_spans = [
         span
         for span in find_spans(page)
         if DOTTED_NAME.fullmatch(span.text)
         and not PATH.fullmatch(span.text)
-        and span.text.split(".")[0] in first_names
+        and span.text.split(".")[0] in first_components
     ]
     assert [str(span) for span in dotted_name_spans if not definitions.has_dotted_name(span.text)] == []
 
