--- a/ingress/decisions/slow_start.py
+++ b/ingress/decisions/slow_start.py
@@ -19,10 +19,10 @@
         self.settings = settings
         """The deployment's settings: slow start's duration and initial share, and the overload limits."""
         self.candidate_set = candidate_set
-        """The backends whose answers are counted."""
+        """The candidates; the warm ones among them determine the warm rate."""
         self.answer_rate = 0.0
         """Successful answers per second to this gateway from all backends, averaged over the window."""
-        self.answered_at = 0.0
+        self.last_answer_at = 0.0
         """Time of the last successful answer (s)."""
         self.warm_rate_per_weight = 0.0
         """Answers per second that this gateway gets from a warm backend, per unit of the backend's weight."""
@@ -30,9 +30,9 @@
     def record_answer(self, now: float) -> None:
         """Include a successful answer in the answer rate."""
         window = max(RATE_WINDOW_SHARE * self.settings.slow_start_duration, MIN_RATE_WINDOW_S)
-        kept_share = max(0.0, 1 - (now - self.answered_at) / window)
+        kept_share = max(0.0, 1 - (now - self.last_answer_at) / window)
         self.answer_rate = self.answer_rate * kept_share + 1.0 / window
-        self.answered_at = now
+        self.last_answer_at = now
 
     def allows_request(self, backend: TrackedBackend, now: float, work: float) -> bool:
         """Return whether a backend that is warming up may get a request of `work` (in mean requests).
--- a/ingress/decisions/subset.py
+++ b/ingress/decisions/subset.py
@@ -34,11 +34,11 @@
         """Slot of each gateway, by the gateway's index."""
 
     def find_first_backend_index(self, gateway: int) -> int:
-        """Return the index of the first backend that follows the slot of a gateway."""
+        """Return the index of the first backend that follows the slot of the gateway with index `gateway`."""
         return self.slot_by_gateway[gateway] * len(self.backends.names) // self.gateway_count
 
     def find_gateways_starting_at(self, index: int) -> list[int]:
-        """Return the gateways whose first backend is the one at `index`."""
+        """Return the indexes of the gateways whose first backend is the one at `index`."""
         backend_count = len(self.backends.names)
         # A slot starts at `index` if slot * backend_count // gateway_count == index; -(-a // b) rounds up.
         first_slot, end_slot = (
@@ -151,7 +151,7 @@
         first, second = self.rings
         backend_count = len(self.backend_ids)
         gateways: set[int] = set()
-        passed_indexes: list[int] = []  # indexes on the first ring of the backends from `start` to `index`
+        passed_indexes: list[int] = []  # on the first ring, of the backends from `start` to before `index`
         for distance in range(first_size + second_size):
             start = (index - distance) % backend_count
             for gateway in second.find_gateways_starting_at(start):
