--- a/ingress/decisions/answer_times.py
+++ b/ingress/decisions/answer_times.py
@@ -19,7 +19,7 @@
         self.mean_by_class: dict[str, float] = {}
         """Smoothed answer time in seconds by class name, for classes that have had an answer."""
 
-    def mean(self, request_class: api.RequestClass) -> float:
+    def get_mean(self, request_class: api.RequestClass) -> float:
         """Return the mean answer time of the class in seconds.
 
         Before the first answer, assume a fixed fraction of the latency objective.
@@ -27,7 +27,7 @@
         initial = request_class.latency_objective / INITIAL_MEAN_DIVISOR
         return max(self.mean_by_class.get(request_class.name, initial), self.min_mean_s)
 
-    def record(self, request_class: api.RequestClass, latency: float) -> None:
+    def record_answer(self, request_class: api.RequestClass, latency: float) -> None:
         """Include an answer that took `latency` seconds.
 
         The first answer initializes the mean.  Each answer then moves the mean towards its latency, which
@@ -44,6 +44,6 @@
 
     def estimate_work(self, request: PendingRequest) -> float:
         """Return the work that the request is expected to cause, as a multiple of a mean request's work."""
-        mean = self.mean(request.request_class)
+        mean = self.get_mean(request.request_class)
         means = self.mean_by_class.values() or [mean]
         return mean * len(means) / sum(means) * request.units / max(self.mean_request_units, MIN_MEAN_UNITS)
--- a/ingress/decisions/attempt_outcomes.py
+++ b/ingress/decisions/attempt_outcomes.py
@@ -34,10 +34,10 @@
     def _record_answer(self, now: float, event: api.AttemptEnded, attempt: InFlightAttempt) -> None:
         request_class = attempt.request.request_class
         backend = attempt.sent_attempt.backend
-        mean_answer_time = self.answer_times.mean(request_class)  # does not include this answer yet
+        mean_answer_time = self.answer_times.get_mean(request_class)  # does not include this answer yet
         backend.clear_failures()
         backend.record_answer(now, event.latency, mean_answer_time, request_class.latency_objective)
-        self.answer_times.record(request_class, event.latency)
+        self.answer_times.record_answer(request_class, event.latency)
         self.balancer.record_answer(now)
 
     def _settle_units(self, event: api.AttemptEnded, request: PendingRequest) -> None:
@@ -52,7 +52,7 @@
         if event.outcome is api.Outcome.TIMEOUT and backend.last_answer_at <= attempt.sent_attempt.sent_at:
             request_class = attempt.request.request_class
             objective = request_class.latency_objective
-            mean_answer_time = self.answer_times.mean(request_class)
+            mean_answer_time = self.answer_times.get_mean(request_class)
             backend.record_answer(now, max(event.latency, objective), mean_answer_time, objective)
             backend.mark_suspect()
         backend.record_failure(now, event.outcome, self.balancer.longest_objective)
--- a/ingress/decisions/balancer.py
+++ b/ingress/decisions/balancer.py
@@ -184,7 +184,7 @@
         """Return the backend with the lowest load score among those that slow start allows."""
         chosen = None
         lowest_score = float("inf")
-        mean_answer_time = self.answer_times.mean(request.request_class)
+        mean_answer_time = self.answer_times.get_mean(request.request_class)
         for backend in eligible:
             tie_break = self.rng.expovariate(1.0)
             score = backend.compute_load_score(
--- a/ingress/decisions/gossip_exchange.py
+++ b/ingress/decisions/gossip_exchange.py
@@ -5,7 +5,7 @@
 from ingress.decisions.admission import Admission
 from ingress.decisions.peer_reports import PeerReports
 from ingress.decisions.process_start import ProcessStart
-from ingress.gossip_codec import format_report
+from ingress.gossip_codec import encode_report
 
 
 class GossipExchange:
@@ -33,7 +33,7 @@
         customers = [c for c in self.admission.customers_by_key.values() if c.counted_use.unreported_units]
         customers.sort(key=lambda customer: -abs(customer.counted_use.unreported_units))
         totals = ((customer.hash, customer.total_used_units) for customer in customers)
-        report = format_report(self.process_start.incarnation, totals)
+        report = encode_report(self.process_start.incarnation, totals)
         for customer in customers[: report.included_count]:
             customer.counted_use.unreported_units = 0.0
         self.sink.emit(api.SendGossip(report.text))
--- a/ingress/decisions/peer_reports.py
+++ b/ingress/decisions/peer_reports.py
@@ -5,7 +5,7 @@
 
 import ingress.interface as api
 from ingress.decisions.constants import NEVER
-from ingress.gossip_codec import UseReport, parse_report
+from ingress.gossip_codec import UseReport, decode_report
 
 MAX_MISSED_REPORTS = 4  # report periods without a report after which the use of a peer counts as unknown
 
@@ -52,7 +52,7 @@
 
         A malformed message, or one of an earlier process of the peer, is ignored.
         """
-        report = parse_report(event.text)
+        report = decode_report(event.text)
         if report is None:
             return []
         peer = self.peers.get(event.sender_index) or PeerState()
--- a/ingress/decisions/request_intake.py
+++ b/ingress/decisions/request_intake.py
@@ -69,7 +69,7 @@
         first_try_remaining_time = self.first_try_remaining_times.get(request_class.name, 0.0)
         deadline_restarts = abs(event.remaining_time - first_try_remaining_time) <= self.settings.tick
         elapsed = request_class.deadline - event.remaining_time
-        expected_latency = elapsed + self.answer_times.mean(request_class)
+        expected_latency = elapsed + self.answer_times.get_mean(request_class)
         return not deadline_restarts and expected_latency > request_class.latency_objective
 
     def _must_await_counter(self, now: float, request: PendingRequest) -> bool:
--- a/ingress/decisions/request_ranking.py
+++ b/ingress/decisions/request_ranking.py
@@ -38,7 +38,7 @@
         request_class = request.request_class
         weight_share = request_class.late_weight_share if request.is_too_late else 1.0
         weight = request_class.priority_weight * weight_share * request.plan.weight_factor
-        return weight / self.answer_times.mean(request_class)
+        return weight / self.answer_times.get_mean(request_class)
 
     def _record_density(self, density: float) -> None:
         if len(self.recent_densities) == MAX_RECENT_REQUESTS:
--- a/ingress/decisions/retry_policy.py
+++ b/ingress/decisions/retry_policy.py
@@ -41,7 +41,7 @@
         `proves_not_executed` says whether the outcome of the last attempt proves that no backend executed it;
         then the retry needs no budget.
         """
-        is_in_time = now + self.answer_times.mean(request.request_class) < request.deadline
+        is_in_time = now + self.answer_times.get_mean(request.request_class) < request.deadline
         is_affordable = proves_not_executed or self._has_budget()
         return is_in_time and is_affordable and self.overload_detector.shed_share(now) < 0
 
@@ -61,7 +61,7 @@
     def _lost_after(self, request_class: api.RequestClass) -> float:
         """Return the seconds after which an attempt of the class is considered lost."""
         return max(
-            LOST_AFTER_MEANS * self.answer_times.mean(request_class),
+            LOST_AFTER_MEANS * self.answer_times.get_mean(request_class),
             LOST_AFTER_OBJECTIVES * request_class.latency_objective,
         )
 
--- a/ingress/decisions/slow_start.py
+++ b/ingress/decisions/slow_start.py
@@ -8,7 +8,9 @@
 MIN_WARM_SHARE = 0.5  # of the candidates' weight; if a smaller share is warm, the last measured rate is kept
 RATE_WINDOW_SHARE = 0.25  # of the slow start's duration: the window over which answers are counted
 MIN_RATE_WINDOW_S = 1.0  # lower bound of the window if the slow start is short
-MIN_BUDGET_IN_WINDOW = 0.5  # requests per overload window from all gateways, also if no warm rate is known
+# Requests per overload window from all gateways.  Every backend gets some, so that its answers show that it
+# is warm.
+MIN_BUDGET_IN_WINDOW = 0.5
 MIN_DIVISOR = 1e-6  # replaces a weight or a duration of 0, to prevent a division by zero
 
 
--- a/ingress/downstream/connection.py
+++ b/ingress/downstream/connection.py
@@ -15,7 +15,7 @@
 from ingress.downstream.connection_owner import ConnectionOwner
 from ingress.downstream.request_handler import PendingReply
 from ingress.network.frames import FrameError
-from ingress.network.sockets import has_input, is_closed_by_peer
+from ingress.network.sockets import has_unread_bytes, is_closed_by_peer
 
 MAX_PIPELINED = 64  # unanswered commands of a connection; at this number, no further commands are taken
 DISCONNECT_CHECK_INTERVAL_S = 0.05  # between checks for a disconnect while reading is paused
@@ -107,7 +107,7 @@
         Closing a socket with unread input resets the connection, which may also destroy the reply before it.
         """
         return self.transport is None or not (
-            self.buffer or has_input(self.sock) or self.transport.get_write_buffer_size()
+            self.buffer or has_unread_bytes(self.sock) or self.transport.get_write_buffer_size()
         )
 
     def close_if_idle(self) -> None:
--- a/ingress/gossip_codec.py
+++ b/ingress/gossip_codec.py
@@ -25,7 +25,7 @@
     """Pairs of a customer's hash and the units that the customer has used since the process started."""
 
 
-class FormattedReport(NamedTuple):
+class EncodedReport(NamedTuple):
     """An encoded message."""
 
     text: str
@@ -33,7 +33,7 @@
     """Number of totals that the text holds."""
 
 
-def parse_report(text: str) -> UseReport | None:
+def decode_report(text: str) -> UseReport | None:
     """Decode a message; return None if it is malformed."""
     try:
         incarnation, *items = text.split()
@@ -46,7 +46,7 @@
         return None
 
 
-def format_report(incarnation: int, totals: Iterable[tuple[int, float]]) -> FormattedReport:
+def encode_report(incarnation: int, totals: Iterable[tuple[int, float]]) -> EncodedReport:
     """Encode as many of the totals, in the given order, as fit into one message.
 
     `incarnation` is the time at which this process started, in Unix milliseconds.  Each total is a pair of a
@@ -60,4 +60,4 @@
             break
         text += item
         included_count += 1
-    return FormattedReport(text, included_count)
+    return EncodedReport(text, included_count)
--- a/ingress/interface/settings.py
+++ b/ingress/interface/settings.py
@@ -131,7 +131,7 @@
     zone: str = ""
     """Name of the zone that this gateway runs in."""
     tick: float = 0.001
-    """Resolution of all times, in seconds."""
+    """Seconds between two steps of a gateway, which is the resolution of all times."""
     answer_slack: float = 0.0
     """Seconds after a client's deadline for which a final answer still counts."""
     drain_grace: float = 0.0
--- a/ingress/network/sockets.py
+++ b/ingress/network/sockets.py
@@ -6,7 +6,7 @@
 import socket
 
 
-def has_input(sock: socket.socket) -> bool:
+def has_unread_bytes(sock: socket.socket) -> bool:
     """Return whether there are unread bytes; the end or a failure of the connection does not count."""
     try:
         return bool(sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT))
@@ -14,7 +14,7 @@
         return False
 
 
-def is_open_without_input(sock: socket.socket) -> bool:
+def is_open_without_unread_bytes(sock: socket.socket) -> bool:
     """Return whether the connection is open and there are no unread bytes."""
     try:
         sock.recv(1, socket.MSG_PEEK | socket.MSG_DONTWAIT)
--- a/ingress/process/ingress.py
+++ b/ingress/process/ingress.py
@@ -23,7 +23,7 @@
 from ingress.process.attempt_dispatcher import AttemptDispatcher
 from ingress.process.configuration import Config
 from ingress.process.in_flight import InFlightRequests
-from ingress.process.reload import apply_reload, restart_required_fields
+from ingress.process.reload import apply_reload, find_fields_requiring_restart
 from ingress.process.request_service import RequestService
 from ingress.process.shutdown import shut_down_gracefully
 from ingress.upstream.attempt import Attempt
@@ -110,7 +110,7 @@
             _address_text(config.discovery),
             _address_text(config.counter),
         )
-        changed_fields = restart_required_fields(old, config)
+        changed_fields = find_fields_requiring_restart(old, config)
         if changed_fields:
             log.warning("restart required fields=%s", ",".join(changed_fields))
 
--- a/ingress/process/reload.py
+++ b/ingress/process/reload.py
@@ -15,7 +15,7 @@
     return replace(current, discovery=new.discovery, counter=new.counter)
 
 
-def restart_required_fields(current: Config, new: Config) -> list[str]:
+def find_fields_requiring_restart(current: Config, new: Config) -> list[str]:
     """Return the names of the changed fields that take effect only after a restart."""
     names = [field.name for field in fields(Config) if field.name not in RELOADED_FIELDS | START_ONLY_FIELDS]
     return [name for name in names if getattr(current, name) != getattr(new, name)]
--- a/ingress/upstream/idle.py
+++ b/ingress/upstream/idle.py
@@ -2,7 +2,7 @@
 
 from __future__ import annotations
 
-from ingress.network.sockets import is_open_without_input
+from ingress.network.sockets import is_open_without_unread_bytes
 from ingress.upstream.connection import BackendConnection
 from ingress.upstream.endpoint import EndpointTable, UpstreamEndpoint
 
@@ -31,7 +31,9 @@
         for connection in reversed(endpoint.idle_connections[:]):
             if connection.idle_since > now - self.reuse_delay_s:
                 continue
-            if connection.idle_since >= now - self.idle_timeout_s and is_open_without_input(connection.sock):
+            if connection.idle_since >= now - self.idle_timeout_s and is_open_without_unread_bytes(
+                connection.sock
+            ):
                 endpoint.idle_connections.remove(connection)
                 return connection
             connection.close()
--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -6,9 +6,9 @@
 
 from ingress.counter import client as client_module
 from ingress.interface import Outcome
-from tests.support.counter import CounterClientUnderTest, scripted_counter
+from tests.support.counter import CounterClientUnderTest, make_scripted_counter
 from tests.support.peers import Reader, ScriptedServer, Writer, run_async_test, wait_until
-from tests.support.sockets import refusing_address, unresponsive_address
+from tests.support.sockets import find_refusing_address, unresponsive_address
 
 
 def test_slow_call_does_not_delay_other_calls() -> None:
@@ -41,7 +41,7 @@
 
 def test_refused_connection_is_reported_as_connect_failed() -> None:
     async def body() -> None:
-        caller = CounterClientUnderTest(refusing_address())
+        caller = CounterClientUnderTest(find_refusing_address())
         caller.start_call()
         assert await caller.wait_for_reply() == (7, Outcome.CONNECT_FAILED, 0.0)
 
@@ -85,7 +85,7 @@
     monkeypatch.setattr(client_module, "IDLE_TIMEOUT_S", 0.05)
 
     async def body() -> None:
-        async with scripted_counter(b"ok 1\r\n") as peer:
+        async with make_scripted_counter(b"ok 1\r\n") as peer:
             caller = CounterClientUnderTest(peer.address)
             caller.start_call()
             await caller.wait_for_reply()
@@ -108,7 +108,7 @@
         await reader.read()
 
     async def body() -> None:
-        async with old, scripted_counter(b"ok 2\r\n") as new:
+        async with old, make_scripted_counter(b"ok 2\r\n") as new:
             caller = CounterClientUnderTest(old.address, timeout_s=5.0 if answers else 0.5)
             callers.append(caller)
             caller.start_call(1)
@@ -128,7 +128,7 @@
 
 def test_change_of_address_while_connecting_leads_to_the_new_address() -> None:
     async def body() -> None:
-        async with scripted_counter() as old, scripted_counter(b"ok 2\r\n") as new:
+        async with make_scripted_counter() as old, make_scripted_counter(b"ok 2\r\n") as new:
             caller = CounterClientUnderTest(old.address)
             caller.start_call(1)
             caller.client.change_address(new.address)
@@ -144,7 +144,7 @@
 
 def test_change_of_address_without_pending_calls_closes_all_connections() -> None:
     async def body() -> None:
-        async with scripted_counter(b"ok 1\r\n") as old, scripted_counter() as new:
+        async with make_scripted_counter(b"ok 1\r\n") as old, make_scripted_counter() as new:
             caller = CounterClientUnderTest(old.address)
             caller.start_call()
             await caller.wait_for_reply()
@@ -159,7 +159,7 @@
 @pytest.mark.parametrize("unsent", [0, 3])
 def test_connection_that_opens_after_the_client_was_closed_is_closed(unsent: int) -> None:
     async def body() -> None:
-        async with scripted_counter(b"ok 1\r\n") as peer:
+        async with make_scripted_counter(b"ok 1\r\n") as peer:
             caller = CounterClientUnderTest(peer.address, timeout_s=0.2)
             caller.start_call()
             caller.client.close()  # while the connection is being opened
@@ -178,8 +178,8 @@
 
 def test_unsent_calls_go_once_to_the_new_address_if_the_old_one_fails() -> None:
     async def body() -> None:
-        async with scripted_counter(b"ok 1\r\n", b"ok 2\r\n") as new:
-            caller = CounterClientUnderTest(refusing_address())
+        async with make_scripted_counter(b"ok 1\r\n", b"ok 2\r\n") as new:
+            caller = CounterClientUnderTest(find_refusing_address())
             caller.start_call(1)
             caller.start_call(2)
             caller.client.change_address(new.address)
--- a/tests/counter/test_connection.py
+++ b/tests/counter/test_connection.py
@@ -5,7 +5,7 @@
 import pytest
 
 from ingress.interface import Outcome
-from tests.support.counter import CounterClientUnderTest, scripted_counter
+from tests.support.counter import CounterClientUnderTest, make_scripted_counter
 from tests.support.peers import Reader, ScriptedServer, Writer, run_async_test, wait_until
 
 MALFORMED_REPLIES = (
@@ -34,7 +34,7 @@
 )
 def test_reply_is_reported_with_its_outcome_and_total(answer: bytes, outcome: Outcome, total: float) -> None:
     async def body() -> None:
-        async with scripted_counter(answer) as peer:
+        async with make_scripted_counter(answer) as peer:
             caller = CounterClientUnderTest(peer.address)
             caller.start_call()
             assert await caller.wait_for_reply() == (7, outcome, total)
@@ -71,7 +71,7 @@
 )
 def test_call_is_encoded_as_an_add_line(amount: float, lifetime: float, line: bytes) -> None:
     async def body() -> None:
-        async with scripted_counter() as peer:
+        async with make_scripted_counter() as peer:
             caller = CounterClientUnderTest(peer.address)
             caller.start_call(7, amount, lifetime)
             await wait_until(lambda: peer.received_commands)
--- a/tests/decisions/test_answer_times.py
+++ b/tests/decisions/test_answer_times.py
@@ -18,20 +18,20 @@
 
 def test_mean_before_the_first_answer_is_a_fraction_of_the_objective() -> None:
     answer_times = AnswerTimes(SETTINGS)
-    assert answer_times.mean(IDEMPOTENT_CLASS) == IDEMPOTENT_CLASS.latency_objective / 8
-    answer_times.record(IDEMPOTENT_CLASS, 0.5)
-    assert answer_times.mean(IDEMPOTENT_CLASS) == 0.5
+    assert answer_times.get_mean(IDEMPOTENT_CLASS) == IDEMPOTENT_CLASS.latency_objective / 8
+    answer_times.record_answer(IDEMPOTENT_CLASS, 0.5)
+    assert answer_times.get_mean(IDEMPOTENT_CLASS) == 0.5
 
 
 def test_answer_slower_than_the_objective_counts_as_the_objective() -> None:
     answer_times, capped_times = AnswerTimes(SETTINGS), AnswerTimes(SETTINGS)
     for recorder, latency in ((answer_times, 3.0), (capped_times, IDEMPOTENT_CLASS.latency_objective)):
-        recorder.record(IDEMPOTENT_CLASS, 0.1)
-        recorder.record(IDEMPOTENT_CLASS, latency)
-    assert answer_times.mean(IDEMPOTENT_CLASS) == capped_times.mean(IDEMPOTENT_CLASS) > 0.1
+        recorder.record_answer(IDEMPOTENT_CLASS, 0.1)
+        recorder.record_answer(IDEMPOTENT_CLASS, latency)
+    assert answer_times.get_mean(IDEMPOTENT_CLASS) == capped_times.get_mean(IDEMPOTENT_CLASS) > 0.1
 
 
 def test_mean_is_at_least_the_resolution_of_the_clock() -> None:
     answer_times = AnswerTimes(SETTINGS)
-    answer_times.record(IDEMPOTENT_CLASS, 0.0)
-    assert answer_times.mean(IDEMPOTENT_CLASS) == SETTINGS.tick
+    answer_times.record_answer(IDEMPOTENT_CLASS, 0.0)
+    assert answer_times.get_mean(IDEMPOTENT_CLASS) == SETTINGS.tick
--- a/tests/decisions/test_balancer.py
+++ b/tests/decisions/test_balancer.py
@@ -6,33 +6,33 @@
 
 from ingress.decisions import Gateway
 from ingress.interface import Backend, EndpointUpdate, EndpointUpdateKind, Outcome, Request
-from tests.support.balancer import UNLIMITED_SETTINGS, count_requests_by_backend
+from tests.support.balancer import UNLIMITED_SETTINGS, count_attempts_by_backend
 from tests.support.gateway import SETTINGS, GatewayHarness, find_sent_attempts
 
 
 def test_unreachable_backends_stay_ejected_even_if_they_are_the_majority() -> None:
     harness = GatewayHarness(UNLIMITED_SETTINGS)
-    count_requests_by_backend(harness, 0.05)
+    count_attempts_by_backend(harness, 0.05)
     for backend in list(harness.gateway.balancer.tracked_backends.values())[:3]:
         backend.record_failure(harness.now, Outcome.CONNECT_FAILED, 1.0)
-    assert set(count_requests_by_backend(harness, 0.001, 20)) == {"b3"}
+    assert set(count_attempts_by_backend(harness, 0.001, 20)) == {"b3"}
 
 
 def test_all_backends_stay_in_use_if_all_return_errors() -> None:
     harness = GatewayHarness(UNLIMITED_SETTINGS)
-    count_requests_by_backend(harness, 0.05)
+    count_attempts_by_backend(harness, 0.05)
     for backend in harness.gateway.balancer.tracked_backends.values():
         for _ in range(3):
             backend.record_failure(harness.now, Outcome.ERROR, 1.0)
-    assert len(count_requests_by_backend(harness, 0.05, 20)) > 1
+    assert len(count_attempts_by_backend(harness, 0.05, 20)) > 1
 
 
 def test_silent_backend_gets_no_new_attempts() -> None:
     harness = GatewayHarness(UNLIMITED_SETTINGS)
-    count_requests_by_backend(harness, 0.05)
+    count_attempts_by_backend(harness, 0.05)
     silent = find_sent_attempts(harness.deliver_request(0.0))[0].backend
     harness.now += 0.5
-    assert silent not in count_requests_by_backend(harness, 0.01, 40)
+    assert silent not in count_attempts_by_backend(harness, 0.01, 40)
 
 
 def test_slow_backend_gets_fewer_requests() -> None:
--- a/tests/decisions/test_concurrency_limit.py
+++ b/tests/decisions/test_concurrency_limit.py
@@ -6,7 +6,7 @@
 
 from ingress.decisions.concurrency_limit import BUSY_LATENCY_SHARE, DECREASE_FACTOR, ConcurrencyLimit
 from ingress.interface import Outcome
-from tests.support.balancer import UNLIMITED_SETTINGS, count_requests_by_backend
+from tests.support.balancer import UNLIMITED_SETTINGS, count_attempts_by_backend
 from tests.support.gateway import BACKENDS, GatewayHarness, find_sent_attempts
 
 
@@ -25,7 +25,7 @@
 
 def test_limit_decreases_if_no_answers_come() -> None:
     harness = GatewayHarness(UNLIMITED_SETTINGS)
-    count_requests_by_backend(harness, 0.05)
+    count_attempts_by_backend(harness, 0.05)
     for backend in harness.gateway.balancer.tracked_backends.values():
         backend.set_limit(20.0)
     for _ in range(40):
@@ -39,7 +39,7 @@
 def test_lost_attempt_does_not_decrease_the_limit_while_others_are_answered() -> None:
     harness = GatewayHarness(UNLIMITED_SETTINGS, BACKENDS[:1])
     [backend] = harness.gateway.balancer.tracked_backends.values()
-    count_requests_by_backend(harness, 0.05, 30)
+    count_attempts_by_backend(harness, 0.05, 30)
     [lost_attempt] = find_sent_attempts(harness.deliver_request())
     backend.set_limit(10.0)
     for _ in range(20):  # 4 s: longer than any latency objective
@@ -55,7 +55,7 @@
 def test_timeout_without_any_answer_since_decreases_the_limit() -> None:
     harness = GatewayHarness(UNLIMITED_SETTINGS, BACKENDS[:1])
     [backend] = harness.gateway.balancer.tracked_backends.values()
-    count_requests_by_backend(harness, 0.05, 30)
+    count_attempts_by_backend(harness, 0.05, 30)
     [lost_attempt] = find_sent_attempts(harness.deliver_request())
     backend.set_limit(10.0)
     harness.end_attempt(lost_attempt, Outcome.TIMEOUT, 4.0)
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -9,7 +9,7 @@
 
 from ingress.decisions.retry_policy import MAX_SAVED_RETRIES, RETRIES_PER_REQUEST
 from ingress.interface import Outcome, Settings
-from tests.support.balancer import UNLIMITED_SETTINGS, count_requests_by_backend
+from tests.support.balancer import UNLIMITED_SETTINGS, count_attempts_by_backend
 from tests.support.gateway import NOT_IDEMPOTENT_CLASS, GatewayHarness, find_sent_attempts
 
 
@@ -63,7 +63,7 @@
 def test_attempt_far_slower_than_the_mean_is_retried_on_another_backend() -> None:
     for class_name, may_retry in (("read", True), ("order", True), ("pay", False)):
         harness = GatewayHarness(UNLIMITED_SETTINGS)
-        count_requests_by_backend(harness, 0.05, 60)
+        count_attempts_by_backend(harness, 0.05, 60)
         harness.gateway.retry_policy.budget.level = 5.0
         [lost] = find_sent_attempts(harness.deliver_request(request_class=class_name))
         assert (lost.timeout < 1.1) is may_retry  # a request that is not idempotent gets no other attempt
@@ -82,7 +82,7 @@
 )
 def test_attempt_that_was_not_executed_is_retried_without_budget(outcome: Outcome, again: bool) -> None:
     harness = GatewayHarness(UNLIMITED_SETTINGS)
-    count_requests_by_backend(harness, 0.05, 60)
+    count_attempts_by_backend(harness, 0.05, 60)
     harness.gateway.retry_policy.budget.level = 0.5
     [sent] = find_sent_attempts(harness.deliver_request())
     assert bool(find_sent_attempts(harness.end_attempt(sent, outcome, 0.001))) is again
--- a/tests/downstream/test_back_pressure.py
+++ b/tests/downstream/test_back_pressure.py
@@ -14,9 +14,9 @@
     make_command,
     make_config,
     make_endpoint_entry,
+    make_scripted_backend,
     reset_connection,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 
@@ -34,7 +34,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend() as peer,
+            make_scripted_backend() as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
 
@@ -75,7 +75,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             gateway = install_scripted_gateway(ingress, send_to_s1)
@@ -108,7 +108,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             gateway = install_scripted_gateway(ingress, send_to_s1)
@@ -136,7 +136,7 @@
 def test_disconnect_is_detected_while_writing_is_blocked() -> None:
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             gateway = install_scripted_gateway(ingress, send_to_s1)
--- a/tests/downstream/test_drain.py
+++ b/tests/downstream/test_drain.py
@@ -22,8 +22,8 @@
     make_command,
     make_config,
     make_endpoint_entry,
+    make_scripted_backend,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 
@@ -50,7 +50,7 @@
 def test_commands_received_together_are_all_served_while_draining() -> None:
     async def body() -> None:
         async with (
-            scripted_backend() as peer,
+            make_scripted_backend() as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             caller = await RespClient.connect(address)
@@ -72,7 +72,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend() as peer,
+            make_scripted_backend() as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             install_scripted_gateway(ingress, send_to_s1)
@@ -92,7 +92,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend() as peer,
+            make_scripted_backend() as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             install_scripted_gateway(ingress, send_to_s1)
@@ -124,7 +124,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend() as peer,
+            make_scripted_backend() as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             install_scripted_gateway(ingress, send_to_s1)
@@ -165,7 +165,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend() as peer,
+            make_scripted_backend() as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             ingress.listener.sock = ListeningSocket(ingress.listener.sock)  # type: ignore[assignment]
--- a/tests/downstream/test_listener.py
+++ b/tests/downstream/test_listener.py
@@ -21,8 +21,8 @@
     make_command,
     make_config,
     make_endpoint_entry,
+    make_scripted_backend,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 
@@ -87,7 +87,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend() as peer,
+            make_scripted_backend() as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             sock = socket.create_connection(address)
@@ -116,7 +116,7 @@
 def test_partial_request_keeps_its_connection_open(trigger: str) -> None:
     async def body() -> None:
         async with (
-            scripted_backend() as peer,
+            make_scripted_backend() as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             caller = await RespClient.connect(address)
@@ -141,7 +141,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend(value) as peer,
+            make_scripted_backend(value) as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             install_scripted_gateway(ingress, send_to_s1)
--- a/tests/process/test_attempt_dispatcher.py
+++ b/tests/process/test_attempt_dispatcher.py
@@ -10,8 +10,8 @@
     make_command,
     make_config,
     make_endpoint_entry,
+    make_scripted_backend,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 
@@ -19,8 +19,8 @@
 def test_earlier_attempt_is_cancelled_before_another_is_sent() -> None:
     async def body() -> None:
         async with (
-            scripted_backend(b"") as first_peer,
-            scripted_backend() as second_peer,
+            make_scripted_backend(b"") as first_peer,
+            make_scripted_backend() as second_peer,
             running_ingress(
                 make_config(
                     make_endpoint_entry(first_peer.address), make_endpoint_entry(second_peer.address, "s2")
@@ -48,7 +48,7 @@
 def test_attempt_beyond_the_maximum_is_superseded() -> None:
     async def body() -> None:
         async with (
-            scripted_backend(b"-ERR failed\r\n") as peer,
+            make_scripted_backend(b"-ERR failed\r\n") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
 
@@ -70,7 +70,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend() as peer,
+            make_scripted_backend() as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             gateway = install_scripted_gateway(ingress, send_to_s1)
@@ -101,7 +101,7 @@
 def test_attempt_waiting_for_connection_reuse_is_dropped_when_the_client_disconnects() -> None:
     async def body() -> None:
         async with (
-            scripted_backend() as peer,
+            make_scripted_backend() as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             gateway = install_scripted_gateway(ingress, send_to_s1)
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -18,8 +18,8 @@
     encode_resp_array,
     make_command,
     make_endpoint_entry,
+    make_scripted_backend,
     run_async_test,
-    scripted_backend,
 )
 from tests.support.process import find_free_port, listening_process
 
@@ -94,7 +94,7 @@
     async def body() -> None:
         agent_address = ("127.0.0.1", find_free_port())
         async with (
-            scripted_backend() as backend_peer,
+            make_scripted_backend() as backend_peer,
             echoing_counter() as counter_peer,
             listening_process(
                 tmp_path,
--- a/tests/process/test_ingress.py
+++ b/tests/process/test_ingress.py
@@ -19,9 +19,9 @@
     make_command,
     make_config,
     make_endpoint_entry,
+    make_scripted_backend,
     read_command,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 
@@ -70,7 +70,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend() as peer,
+            make_scripted_backend() as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
 
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -11,8 +11,8 @@
 import pytest
 
 from ingress.process.ingress import Ingress
-from ingress.process.reload import apply_reload, restart_required_fields
-from tests.support.counter import scripted_counter
+from ingress.process.reload import apply_reload, find_fields_requiring_restart
+from tests.support.counter import make_scripted_counter
 from tests.support.discovery import ScriptedAgent, encode_endpoint_list
 from tests.support.ingress import running_ingress
 from tests.support.peers import (
@@ -24,8 +24,8 @@
     make_config,
     make_config_text,
     make_endpoint_entry,
+    make_scripted_backend,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 from tests.support.process import (
@@ -45,8 +45,8 @@
 
     async def body() -> None:
         async with (
-            scripted_backend(encode_value_reply(b"one")) as one,
-            scripted_backend(encode_value_reply(b"two")) as two,
+            make_scripted_backend(encode_value_reply(b"one")) as one,
+            make_scripted_backend(encode_value_reply(b"two")) as two,
         ):
             first = ScriptedAgent(encode_endpoint_list(40, True, make_endpoint_entry(one.address)))
             # The new agent numbers its versions differently, and closes the connection of its first call.
@@ -95,7 +95,7 @@
 
 def test_reload_moves_the_counter_and_closes_the_old_connections(tmp_path: Path) -> None:
     async def body() -> None:
-        async with scripted_counter(b"ok 1\r\n") as old, scripted_counter(b"ok 1\r\n") as new:
+        async with make_scripted_counter(b"ok 1\r\n") as old, make_scripted_counter(b"ok 1\r\n") as new:
             agents = [ScriptedAgent(encode_endpoint_list(1, True)) for _ in range(3)]
             async with agents[0].server, agents[1].server, agents[2].server:
 
@@ -135,7 +135,7 @@
     run_async_test(body())
 
 
-def test_reload_before_the_watch_starts_fetches_the_full_list_from_the_new_agent() -> None:
+def test_reload_before_the_watch_starts_fetches_the_complete_list_from_the_new_agent() -> None:
     """The new agent may number versions differently, so changes since a known version may omit backends."""
 
     async def body() -> None:
@@ -228,8 +228,8 @@
 def test_only_changes_that_a_reload_does_not_apply_require_a_restart() -> None:
     current = make_config(make_endpoint_entry(("127.0.0.1", 1)))
     new = make_config(discovery="127.0.0.1:9", seed="1", name="n1", listen="127.0.0.1:7")
-    assert restart_required_fields(current, current) == []
-    assert restart_required_fields(current, new) == ["name", "listen"]
+    assert find_fields_requiring_restart(current, current) == []
+    assert find_fields_requiring_restart(current, new) == ["name", "listen"]
     assert apply_reload(current, new) == replace(current, discovery=("127.0.0.1", 9))
 
 
--- a/tests/process/test_request_service.py
+++ b/tests/process/test_request_service.py
@@ -15,8 +15,8 @@
     make_command,
     make_config,
     make_endpoint_entry,
+    make_scripted_backend,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 
@@ -24,7 +24,7 @@
 def test_disconnect_cancels_the_request() -> None:
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             gateway = install_scripted_gateway(ingress, send_to_s1)
@@ -42,7 +42,7 @@
 def test_final_answer_is_enforced_when_module_and_backend_are_silent(sent: bool) -> None:
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             gateway = install_scripted_gateway(ingress, send_to_s1 if sent else None)
@@ -64,7 +64,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             caller = await RespClient.connect(address)
@@ -101,7 +101,7 @@
 def test_requests_in_flight_are_bounded() -> None:
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             ingress.requests.max_requests = 1
@@ -117,7 +117,7 @@
 def test_client_request_id_in_flight_is_not_accepted_twice() -> None:
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             install_scripted_gateway(ingress, send_to_s1)
--- a/tests/process/test_restart.py
+++ b/tests/process/test_restart.py
@@ -26,9 +26,9 @@
     make_command,
     make_config_text,
     make_endpoint_entry,
+    make_scripted_backend,
     read_command,
     run_async_test,
-    scripted_backend,
 )
 from tests.support.process import CONFIG_FILE_NAME, listening_process, running_process
 
@@ -86,7 +86,7 @@
         classes = [c | {"give-up-s": 60.0, "aim-s": 60.0} for c in WIRE_SETTINGS["categories"]]
         long_deadline_settings = WIRE_SETTINGS | {"categories": classes}
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_program(peer, tmp_path, long_deadline_settings) as (process, address),
         ):
             caller = await RespClient.connect(address)
--- a/tests/process/test_shutdown.py
+++ b/tests/process/test_shutdown.py
@@ -13,8 +13,8 @@
     make_command,
     make_config,
     make_endpoint_entry,
+    make_scripted_backend,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 
@@ -30,7 +30,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress_until_stopped(make_config(make_endpoint_entry(peer.address))) as (
                 ingress,
                 address,
--- a/tests/support/balancer.py
+++ b/tests/support/balancer.py
@@ -40,7 +40,7 @@
     return answering_backends
 
 
-def count_requests_by_backend(
+def count_attempts_by_backend(
     harness: GatewayHarness, latency_s: float, request_count: int = 200
 ) -> dict[str, int]:
     """Deliver requests one by one, answer each after `latency_s`, and count the attempts by backend."""
--- a/tests/support/counter.py
+++ b/tests/support/counter.py
@@ -26,7 +26,7 @@
         return last_reply.name, last_reply.outcome, last_reply.total
 
 
-def scripted_counter(*encoded_replies: bytes) -> ScriptedServer:
+def make_scripted_counter(*encoded_replies: bytes) -> ScriptedServer:
     """Return a counter that sends one of the replies to each call, in order, and none to further calls."""
 
     async def serve_connection(_: int, reader: Reader, writer: Writer) -> None:
--- a/tests/support/discovery.py
+++ b/tests/support/discovery.py
@@ -51,9 +51,9 @@
 ]
 
 
-def encode_endpoint_list(version: int, full: bool, *entries: dict[str, Any]) -> bytes:
+def encode_endpoint_list(version: int, is_complete: bool, *entries: dict[str, Any]) -> bytes:
     """Return the body of a response with these entries."""
-    return json.dumps({"version": version, "full": full, "servers": entries}).encode()
+    return json.dumps({"version": version, "full": is_complete, "servers": entries}).encode()
 
 
 def encode_http_response(body: bytes, status: bytes = b"200 OK", headers: bytes = b"") -> bytes:
--- a/tests/support/peers.py
+++ b/tests/support/peers.py
@@ -111,7 +111,7 @@
     return b"*3\r\n$%d\r\n%b\r\n$-1\r\n$-1\r\n" % (len(text), text)
 
 
-def scripted_backend(reply: bytes | None = None) -> ScriptedServer:
+def make_scripted_backend(reply: bytes | None = None) -> ScriptedServer:
     """Return a backend that sends `reply` to each command; b"" sends none, None echoes the request id."""
 
     async def serve_connection(_: int, reader: Reader, writer: Writer) -> None:
--- a/tests/support/pool.py
+++ b/tests/support/pool.py
@@ -53,11 +53,11 @@
         )
         self.update_endpoints(*((Backend(f"s{n}"), address) for n, address in enumerate(addresses)))
 
-    def update_endpoints(self, *entries: tuple[Backend, Address], full: bool = True) -> None:
+    def update_endpoints(self, *entries: tuple[Backend, Address], is_complete_list: bool = True) -> None:
         """Pass the pool a complete endpoint list, or only the changed entries if `full` is false."""
         backends = tuple(backend for backend, _ in entries)
         addresses = {backend.id: address for backend, address in entries}
-        self.pool.update_endpoints(full, backends, addresses)
+        self.pool.update_endpoints(is_complete_list, backends, addresses)
 
     def record_result(
         self, attempt: Attempt, outcome: Outcome, value: bytes | None, load_report: dict[str, float]
@@ -69,13 +69,13 @@
         self,
         backend_id: str = "s0",
         timeout_s: float = 5.0,
-        parts: CommandParts = COMMAND_PARTS,
+        command_parts: CommandParts = COMMAND_PARTS,
         max_write_delay_s: float = inf,
     ) -> Attempt:
         """Start an attempt at the backend."""
         now = self.pool.clock()
         attempt = Attempt(
-            "r", self.attempt_count, backend_id, now, now + timeout_s, parts, now + max_write_delay_s
+            "r", self.attempt_count, backend_id, now, now + timeout_s, command_parts, now + max_write_delay_s
         )
         self.attempt_count += 1
         self.pool.start_attempt(attempt)
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -11,7 +11,7 @@
 BACKLOG_FILLING_CONNECTION_COUNT = 4
 
 
-def refusing_address() -> Address:
+def find_refusing_address() -> Address:
     """Return an address that refuses connections, because nothing listens on it any more."""
     with socket.create_server(("127.0.0.1", 0)) as server:
         address: Address = server.getsockname()
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -20,9 +20,9 @@
     ScriptedServer,
     Writer,
     encode_value_reply,
+    make_scripted_backend,
     read_command,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 from tests.support.pool import COMMAND_PARTS, PoolUnderTest
@@ -56,7 +56,7 @@
 )
 def test_reply_determines_outcome_and_value(answer: bytes, outcome: Outcome, found: bytes | None) -> None:
     async def body() -> None:
-        async with scripted_backend(answer) as peer:
+        async with make_scripted_backend(answer) as peer:
             pool = PoolUnderTest(peer.address)
             pool.start_attempt()
             assert await pool.wait_for_result() == (outcome, found)
@@ -66,12 +66,12 @@
 
 def test_command_is_forwarded_unchanged_except_for_the_remaining_time() -> None:
     async def body() -> None:
-        async with scripted_backend() as peer:
+        async with make_scripted_backend() as peer:
             pool = PoolUnderTest(peer.address)
             argument = b"$%d\r\n%b\r\n" % (len(BINARY_VALUE), BINARY_VALUE)
             pool.start_attempt(
                 timeout_s=1.0,
-                parts=(COMMAND_PARTS[0].replace(b"*4", b"*5"), COMMAND_PARTS[1], b"\r\n" + argument),
+                command_parts=(COMMAND_PARTS[0].replace(b"*4", b"*5"), COMMAND_PARTS[1], b"\r\n" + argument),
             )
             assert await pool.wait_for_result() == (Outcome.OK, b"r1")
             [arguments] = peer.received_commands
@@ -135,7 +135,7 @@
 
 def test_unsolicited_second_reply_closes_the_connection() -> None:
     async def body() -> None:
-        async with scripted_backend(encode_value_reply(b"one") + encode_value_reply(b"two")) as peer:
+        async with make_scripted_backend(encode_value_reply(b"one") + encode_value_reply(b"two")) as peer:
             pool = PoolUnderTest(peer.address)
             pool.start_attempt()
             assert await pool.wait_for_result() == (Outcome.OK, b"one")
@@ -243,7 +243,7 @@
 )
 def test_malformed_reply_is_an_error_and_closes_the_connection(malformed: bytes) -> None:
     async def body() -> None:
-        async with scripted_backend(malformed) as peer:
+        async with make_scripted_backend(malformed) as peer:
             pool = PoolUnderTest(peer.address)
             pool.start_attempt()
             assert await pool.wait_for_result() == (Outcome.ERROR, None)
@@ -256,7 +256,7 @@
 
 def test_malformed_replies_are_logged(caplog: pytest.LogCaptureFixture) -> None:
     async def body() -> None:
-        async with scripted_backend(b"-SYNTAX\r\n") as peer:
+        async with make_scripted_backend(b"-SYNTAX\r\n") as peer:
             pool = PoolUnderTest(peer.address)
             pool.start_attempt()
             await pool.wait_for_result()
@@ -269,7 +269,7 @@
 
 def test_incomplete_replies_are_limited_over_all_connections_together() -> None:
     async def body() -> None:
-        async with scripted_backend(b"*3\r\n$900000\r\n" + b"x" * 800_000) as peer:
+        async with make_scripted_backend(b"*3\r\n$900000\r\n" + b"x" * 800_000) as peer:
             pool = PoolUnderTest(peer.address)
             pool.pool.reply_buffer.max_bytes = 1_000_000
             first = pool.start_attempt()
@@ -295,7 +295,8 @@
             server.setblocking(False)
             pool = PoolUnderTest(server.getsockname())
             attempt = pool.start_attempt(
-                timeout_s=0.5 if how == "time is up" else 5.0, parts=(*COMMAND_PARTS[:2], LARGE_ARGUMENT)
+                timeout_s=0.5 if how == "time is up" else 5.0,
+                command_parts=(*COMMAND_PARTS[:2], LARGE_ARGUMENT),
             )
             peer, _ = await loop.sock_accept(server)
             await wait_until(lambda: attempt.connection is not None)
@@ -328,7 +329,7 @@
         async with ScriptedServer(script) as peer:
             pool = PoolUnderTest(peer.address)
             attempt = pool.start_attempt(
-                parts=(COMMAND_PARTS[0].replace(b"*4", b"*5"), COMMAND_PARTS[1], LARGE_ARGUMENT)
+                command_parts=(COMMAND_PARTS[0].replace(b"*4", b"*5"), COMMAND_PARTS[1], LARGE_ARGUMENT)
             )
             await command_read.wait()
             await wait_until(attempt.is_fully_written)
--- a/tests/upstream/test_endpoint.py
+++ b/tests/upstream/test_endpoint.py
@@ -18,9 +18,9 @@
     ScriptedServer,
     Writer,
     encode_value_reply,
+    make_scripted_backend,
     read_command,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 from tests.support.pool import PoolUnderTest
@@ -98,7 +98,7 @@
         )
         pool.pool.endpoint_table.contacted_endpoints = endpoints
         endpoints.touched = 0
-        pool.update_endpoints((Backend("s7", readiness=readiness), ("127.0.0.2", 7)), full=False)
+        pool.update_endpoints((Backend("s7", readiness=readiness), ("127.0.0.2", 7)), is_complete_list=False)
         assert book.touched <= 2
         assert endpoints.touched <= 2
         state_after = {
@@ -113,7 +113,7 @@
 
 def test_endpoint_is_created_by_the_first_attempt() -> None:
     async def body() -> None:
-        async with scripted_backend() as peer:
+        async with make_scripted_backend() as peer:
             pool = PoolUnderTest()
             pool.update_endpoints(*BACKEND_ENTRIES, (Backend("s-here"), peer.address))
             assert not pool.pool.endpoint_table.contacted_endpoints
@@ -127,7 +127,7 @@
 @pytest.mark.parametrize("readiness", [Readiness.DRAINING, Readiness.REMOVED])
 def test_last_of_two_entries_with_the_same_id_applies(readiness: Readiness) -> None:
     async def body() -> None:
-        async with scripted_backend() as peer:
+        async with make_scripted_backend() as peer:
             pool = PoolUnderTest()
             pool.update_endpoints(
                 (Backend("s0", readiness=readiness), peer.address), (Backend("s0"), peer.address)
@@ -156,8 +156,8 @@
 def test_complete_list_that_arrives_while_a_connection_is_opened(change: str, outcome: Outcome) -> None:
     async def body() -> None:
         async with (
-            scripted_backend(encode_value_reply(b"first")) as peer,
-            scripted_backend(encode_value_reply(b"second")) as other_peer,
+            make_scripted_backend(encode_value_reply(b"first")) as peer,
+            make_scripted_backend(encode_value_reply(b"second")) as other_peer,
         ):
             pool = PoolUnderTest(peer.address, other_peer.address)
             delayed_loop = DelayedConnectLoop()
@@ -185,15 +185,15 @@
     """Even a waiting attempt is not written, as the list may arrive after the end of the grace period."""
 
     async def body() -> None:
-        async with scripted_backend() as peer:
+        async with make_scripted_backend() as peer:
             pool = PoolUnderTest(peer.address)
             pool.start_attempt()  # its connection is established after the update
-            pool.update_endpoints((Backend("s0", readiness=readiness), peer.address), full=False)
+            pool.update_endpoints((Backend("s0", readiness=readiness), peer.address), is_complete_list=False)
             assert await pool.wait_for_result() == (Outcome.CONNECT_FAILED, None)
             pool.start_attempt()
             assert await pool.wait_for_result(2) == (Outcome.CONNECT_FAILED, None)
             assert not peer.received_commands
-            pool.update_endpoints((Backend("s0"), peer.address), full=False)
+            pool.update_endpoints((Backend("s0"), peer.address), is_complete_list=False)
             pool.start_attempt()
             assert (await pool.wait_for_result(3))[0] is Outcome.OK
 
@@ -202,7 +202,7 @@
 
 def test_backend_missing_from_a_complete_list_is_removed() -> None:
     async def body() -> None:
-        async with scripted_backend() as peer, scripted_backend() as other_peer:
+        async with make_scripted_backend() as peer, make_scripted_backend() as other_peer:
             pool = PoolUnderTest(peer.address, other_peer.address)
             pool.start_attempt("s0")
             await pool.wait_for_result()
@@ -223,11 +223,11 @@
         await reader.read()
 
     async def body() -> None:
-        async with old, scripted_backend(encode_value_reply(b"new")) as new:
+        async with old, make_scripted_backend(encode_value_reply(b"new")) as new:
             pool = PoolUnderTest(old.address)
             pool.start_attempt()
             await wait_until(lambda: old.received_commands)
-            pool.update_endpoints((Backend("s0"), new.address), full=False)
+            pool.update_endpoints((Backend("s0"), new.address), is_complete_list=False)
             moved.append(True)
             assert await pool.wait_for_result() == (Outcome.OK, b"old")
             pool.start_attempt()
@@ -241,13 +241,13 @@
 def test_attempt_goes_to_the_new_address_of_a_backend() -> None:
     async def body() -> None:
         async with (
-            scripted_backend(encode_value_reply(b"old")) as old,
-            scripted_backend(encode_value_reply(b"new")) as new,
+            make_scripted_backend(encode_value_reply(b"old")) as old,
+            make_scripted_backend(encode_value_reply(b"new")) as new,
         ):
             pool = PoolUnderTest(old.address)
             pool.start_attempt()
             await pool.wait_for_result()
-            pool.update_endpoints((Backend("s0"), new.address), full=False)
+            pool.update_endpoints((Backend("s0"), new.address), is_complete_list=False)
             pool.start_attempt()
             assert await pool.wait_for_result(2) == (Outcome.OK, b"new")
 
@@ -257,12 +257,15 @@
 @pytest.mark.parametrize("back", ["same", "elsewhere"])
 def test_waiting_attempt_fails_if_its_backend_is_removed_and_listed_again(back: str) -> None:
     async def body() -> None:
-        async with scripted_backend() as peer, scripted_backend() as other_peer:
+        async with make_scripted_backend() as peer, make_scripted_backend() as other_peer:
             pool = PoolUnderTest(peer.address)
             pool.start_attempt()  # its connection is established after both updates
-            pool.update_endpoints((Backend("s0", readiness=Readiness.REMOVED), peer.address), full=False)
             pool.update_endpoints(
-                (Backend("s0"), peer.address if back == "same" else other_peer.address), full=False
+                (Backend("s0", readiness=Readiness.REMOVED), peer.address), is_complete_list=False
+            )
+            pool.update_endpoints(
+                (Backend("s0"), peer.address if back == "same" else other_peer.address),
+                is_complete_list=False,
             )
             assert await pool.wait_for_result() == (Outcome.CONNECT_FAILED, None)
             pool.start_attempt()
@@ -279,7 +282,7 @@
     change: str, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     async def body() -> None:
-        async with scripted_backend() as peer, scripted_backend() as other_peer:
+        async with make_scripted_backend() as peer, make_scripted_backend() as other_peer:
             pool = PoolUnderTest(peer.address)
             pool.start_attempt()
             assert (await pool.wait_for_result())[0] is Outcome.OK
@@ -287,7 +290,9 @@
             pool.start_attempt()  # waits for the reuse delay of the idle connection
             readiness = {"moved": Readiness.READY, "gone": Readiness.REMOVED, "drains": Readiness.DRAINING}
             address = other_peer.address if change == "moved" else peer.address
-            pool.update_endpoints((Backend("s0", readiness=readiness[change]), address), full=False)
+            pool.update_endpoints(
+                (Backend("s0", readiness=readiness[change]), address), is_complete_list=False
+            )
             outcome = Outcome.OK if change == "moved" else Outcome.CONNECT_FAILED
             assert (await pool.wait_for_result(2))[0] is outcome
             assert len(peer.received_commands) == 1
--- a/tests/upstream/test_idle.py
+++ b/tests/upstream/test_idle.py
@@ -13,9 +13,9 @@
     ScriptedServer,
     Writer,
     encode_value_reply,
+    make_scripted_backend,
     read_command,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 from tests.support.pool import PoolUnderTest
@@ -23,7 +23,7 @@
 
 def test_most_recently_used_connection_is_reused() -> None:
     async def body() -> None:
-        async with scripted_backend() as peer:
+        async with make_scripted_backend() as peer:
             pool = PoolUnderTest(peer.address)
             pool.start_attempt()
             pool.start_attempt()
@@ -63,7 +63,7 @@
     monkeypatch.setattr(pool_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def body() -> None:
-        async with scripted_backend() as peer:
+        async with make_scripted_backend() as peer:
             pool = PoolUnderTest(peer.address, idle_timeout_s=15.0)
             pool.start_attempt()
             await pool.wait_for_result()
@@ -118,7 +118,7 @@
     """Duplicate replies arrived up to 4.03 ms after the reply."""
 
     async def body() -> None:
-        async with scripted_backend() as peer:
+        async with make_scripted_backend() as peer:
             pool = PoolUnderTest(peer.address)
             now = 100.0
             pool.pool.clock = lambda: now
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -8,14 +8,14 @@
 import pytest
 
 from ingress.interface import Outcome
-from tests.support.peers import run_async_test, scripted_backend, wait_until
+from tests.support.peers import make_scripted_backend, run_async_test, wait_until
 from tests.support.pool import PoolUnderTest
-from tests.support.sockets import refusing_address, unresponsive_address
+from tests.support.sockets import find_refusing_address, unresponsive_address
 
 
 def test_attempt_on_a_refused_connection_is_connect_failed() -> None:
     async def body() -> None:
-        pool = PoolUnderTest(refusing_address())
+        pool = PoolUnderTest(find_refusing_address())
         pool.start_attempt()
         assert await pool.wait_for_result() == (Outcome.CONNECT_FAILED, None)
         pool.start_attempt("unknown")
@@ -38,7 +38,7 @@
 
 def test_lack_of_descriptors_does_not_count_as_backend_failure(monkeypatch: pytest.MonkeyPatch) -> None:
     async def body() -> None:
-        async with scripted_backend() as peer:
+        async with make_scripted_backend() as peer:
             pool = PoolUnderTest(peer.address)
             original_socket = socket.socket
 
@@ -58,7 +58,7 @@
 
 def test_connections_are_limited_over_all_backends_together() -> None:
     async def body() -> None:
-        async with scripted_backend() as answering_peer, scripted_backend(b"") as silent_peer:
+        async with make_scripted_backend() as answering_peer, make_scripted_backend(b"") as silent_peer:
             pool = PoolUnderTest(answering_peer.address, silent_peer.address, max_connections=2)
             pool.start_attempt("s0")
             await pool.wait_for_result()
@@ -81,7 +81,7 @@
     """A retry after the deduplication window of its backend would take effect a second time."""
 
     async def body() -> None:
-        async with scripted_backend() as peer:
+        async with make_scripted_backend() as peer:
             pool = PoolUnderTest(peer.address)
             now = 100.0
             pool.pool.clock = lambda: now
