--- a/scale/cold/fleet.py
+++ b/scale/cold/fleet.py
@@ -1,4 +1,4 @@
-"""A fleet of decision modules on a simulated clock, with backends some of which start cold."""
+"""A fleet of decision modules on a simulated clock, in which some backends start cold."""
 
 from __future__ import annotations
 
@@ -31,16 +31,16 @@
 
 
 @dataclass(slots=True)
-class Outcomes:
-    """How many requests there were, and when cold backends got theirs."""
+class SimulationRecord:
+    """The numbers of requests, and the attempts that arrived at cold backends."""
 
     request_count: int = 0
     sent_request_count: int = 0
     """Requests of which an attempt was sent."""
     arrivals_from_informed: dict[str, list[float]] = field(default_factory=dict)
-    """By cold backend: its age (s) at each attempt that came from an ingress that knew of the cold starts."""
+    """By cold backend: its age (s) at each attempt from an ingress that knew of the cold starts."""
     arrivals_from_uninformed: dict[str, list[float]] = field(default_factory=dict)
-    """By cold backend: its age (s) at each attempt that came from one of the other ingresses."""
+    """By cold backend: its age (s) at each attempt from an ingress that did not know of them yet."""
 
 
 @dataclass(slots=True)
@@ -51,7 +51,7 @@
     is_informed: bool = False
     """Whether it has received the change of the endpoint list."""
     attempt_counts: dict[str, int] = field(default_factory=dict)
-    """By request: how many attempts were sent."""
+    """By request: the number of attempts sent so far."""
 
 
 class Fleet:
@@ -64,7 +64,7 @@
         self._job = job
         self._now = START_TIME_S
         self._rng = random.Random(job.seed)
-        self._outcomes = Outcomes()
+        self._record = SimulationRecord()
         self._schedule: Schedule[Callable[[], None]] = Schedule()
         self._replacement = plan_replacement(job, START_TIME_S + job.warm_up_s)
         self._queues = BackendQueues(job, self._replacement, self._rng)
@@ -73,8 +73,8 @@
             Ingress(Gateway(build_settings(job, number), seed)) for number, seed in enumerate(seeds)
         ]
 
-    def simulate(self) -> Outcomes:
-        """Simulate the warm-up, then the cold starts until all backends are warm."""
+    def simulate(self) -> SimulationRecord:
+        """Simulate the warm-up and the cold starts, until all backends are warm."""
         starts_at = self._replacement.starts_at
         for ingress in self._ingresses:
             self._feed(
@@ -88,7 +88,7 @@
             due = self._schedule.pop()
             self._now = due.at
             due.item()
-        return self._outcomes
+        return self._record
 
     def _schedule_request(self, ingress: Ingress) -> None:
         at = self._now + self._rng.expovariate(self._job.requests_per_s)
@@ -101,8 +101,8 @@
 
     def _handle_arrival(self, ingress: Ingress) -> None:
         self._schedule_request(ingress)
-        self._outcomes.request_count += 1
-        request_id = str(self._outcomes.request_count)
+        self._record.request_count += 1
+        request_id = str(self._record.request_count)
         self._feed(
             ingress,
             Request(request_id, CLASS_NAME, PLAN_NAME, customer=request_id, remaining_time=DEADLINE_S),
@@ -122,7 +122,7 @@
     def _send_attempt(self, ingress: Ingress, request_id: str, backend_id: str) -> None:
         attempt_number = ingress.attempt_counts.get(request_id, 0)
         ingress.attempt_counts[request_id] = attempt_number + 1
-        self._outcomes.sent_request_count += attempt_number == 0
+        self._record.sent_request_count += attempt_number == 0
         self._record_if_cold(ingress, backend_id)
         if self._now >= self._replacement.starts_at and backend_id in self._replacement.removed_ids:
             outcome = Outcome.CONNECT_FAILED
@@ -137,8 +137,8 @@
         age = self._now - self._replacement.starts_at
         if age >= 0 and backend_id in self._replacement.cold_ids:
             arrivals = (
-                self._outcomes.arrivals_from_informed
+                self._record.arrivals_from_informed
                 if ingress.is_informed
-                else self._outcomes.arrivals_from_uninformed
+                else self._record.arrivals_from_uninformed
             )
             arrivals.setdefault(backend_id, []).append(age)
--- a/scale/cold/job.py
+++ b/scale/cold/job.py
@@ -28,7 +28,10 @@
     """The share of the backends that start cold."""
     start_kind: ColdStartKind = "replaced"
     longest_notice_s: float = Field(default=0.0, ge=0)
-    """The most time until an ingress receives the change of the endpoint list; it is drawn for each."""
+    """The longest delay until an ingress receives the change of the endpoint list.
+
+    The delay of each ingress is drawn uniformly between 0 and this time.
+    """
     warm_up_s: float = Field(default=8.0, gt=0)
     """The simulated time before the cold starts."""
     cold_s: float = Field(default=12.0, gt=0)
@@ -36,7 +39,7 @@
     cold_share: float = Field(default=0.16, gt=0, le=1)
     """The share of its capacity that a backend has when it starts."""
     fall_factor: float = Field(default=2.5, gt=0)
-    """A backend is overloaded by requests at this factor times its present capacity, over `fall_s`."""
+    """Requests at this multiple of its present capacity, over `fall_s`, overload a backend."""
     fall_s: float = Field(default=2.0, gt=0)
     """The length of the window in which an overload is counted."""
     seed: int = 1
--- a/scale/cold/windows.py
+++ b/scale/cold/windows.py
@@ -1,4 +1,4 @@
-"""The requests that cold backends got in each window of time, compared with their budget."""
+"""The requests that cold backends received in each window of time, compared with their budget."""
 
 from __future__ import annotations
 
@@ -12,9 +12,9 @@
 
 @dataclass(frozen=True, slots=True)
 class WindowUsage:
-    """How much of their budget the windows of all cold backends used.
+    """How much of their budgets the windows of all cold backends used.
 
-    A window begins with each request to a cold backend; those that end after it is warm are left out.
+    Each request to a cold backend begins a window.  Windows that end after the backend is warm are left out.
     """
 
     windows: int
@@ -30,7 +30,7 @@
 
 
 def calculate_chance_limit(budget: float) -> float:
-    """Return the most requests in a window that random variation around its budget explains.
+    """Return the highest number of requests in a window that random variation around its budget explains.
 
     The square root of the budget is the standard deviation of a Poisson distribution with that mean; the
     limit is two standard deviations and 2 requests above the budget.
@@ -39,14 +39,14 @@
 
 
 def calculate_window_budget(job: ColdStartJob, age: float) -> float:
-    """Return the requests that do not overload a backend in the window that begins at its age (s)."""
+    """Return the requests up to which a backend is not overloaded in the window beginning at its age (s)."""
     return job.fall_factor * job.capacity * job.calculate_capacity_share(age) * job.fall_s
 
 
 def measure_window_usage(job: ColdStartJob, arrivals: Sequence[Sequence[float]]) -> WindowUsage:
     """Return the usage of all windows.
 
-    `arrivals` holds, for each cold backend, its ages (s, ascending) at which requests came.
+    `arrivals` holds, for each cold backend, its ages (s, ascending) at which requests arrived.
     """
     ratios: list[float] = []
     beyond_budget = beyond_chance = 0
--- a/scale/commands/cold.py
+++ b/scale/commands/cold.py
@@ -20,7 +20,7 @@
 from scale.results import Point, Result, now, save_result
 
 RESULTS_FOLDER = TOOL_ROOT / "scale" / "results"
-LATE_NOTICE_S = 4.0  # delay until the last ingress has the new list, where lists are late
+LATE_NOTICE_S = 4.0  # longest delay until an ingress has the new list, in the jobs with late lists
 FLEETS = ((3, 12), (30, 30), (300, 150))  # numbers of ingresses and backends
 LOADS = (0.6, 1.2)  # load relative to the capacity of all warm backends
 COLD_START_KINDS: tuple[ColdStartKind, ...] = ("replaced", "restarted")
@@ -28,7 +28,7 @@
 
 
 def make_jobs(seed: int) -> list[ColdStartJob]:
-    """Return all jobs: loads below and above the capacity, both kinds of start, lists in time and late."""
+    """Return a job for each combination of fleet, load, kind of start, and new lists in time or late."""
     return [
         ColdStartJob(
             ingresses=ingresses,
@@ -46,28 +46,30 @@
 
 
 def measure_job(job: ColdStartJob) -> Point:
-    """Run one job; count requests from ingresses that knew of the start separately as well."""
-    outcomes = Fleet(job).simulate()
-    backend_ids = sorted(outcomes.arrivals_from_informed.keys() | outcomes.arrivals_from_uninformed.keys())
+    """Run one job, and measure the windows with the requests of informed ingresses and of all ingresses."""
+    record = Fleet(job).simulate()
+    backend_ids = sorted(record.arrivals_from_informed.keys() | record.arrivals_from_uninformed.keys())
     all_arrivals = [
         sorted(
-            outcomes.arrivals_from_informed.get(backend_id, [])
-            + outcomes.arrivals_from_uninformed.get(backend_id, [])
+            record.arrivals_from_informed.get(backend_id, [])
+            + record.arrivals_from_uninformed.get(backend_id, [])
         )
         for backend_id in backend_ids
     ]
     measures = {
-        "requests": float(outcomes.request_count),
-        "sent_share": outcomes.sent_request_count / max(1, outcomes.request_count),
+        "requests": float(record.request_count),
+        "sent_share": record.sent_request_count / max(1, record.request_count),
     }
-    # In results, "told" stands for the requests from ingresses that knew of the start.
-    measures |= _measures("told", measure_window_usage(job, list(outcomes.arrivals_from_informed.values())))
-    measures |= _measures("all", measure_window_usage(job, all_arrivals))
+    # In results, "told" means the requests from ingresses that knew of the cold starts.
+    measures |= _prefix_measures(
+        "told", measure_window_usage(job, list(record.arrivals_from_informed.values()))
+    )
+    measures |= _prefix_measures("all", measure_window_usage(job, all_arrivals))
     sizes = {name: float(value) for name, value in job.model_dump().items() if isinstance(value, int | float)}
     return Point(sizes=sizes | {"restarted": float(job.start_kind == "restarted")}, measures=measures)
 
 
-def _measures(prefix: str, window_usage: WindowUsage) -> dict[str, float]:
+def _prefix_measures(prefix: str, window_usage: WindowUsage) -> dict[str, float]:
     return {f"{prefix}_{name}": float(value) for name, value in asdict(window_usage).items()}
 
 
--- a/scale/commands/run.py
+++ b/scale/commands/run.py
@@ -19,8 +19,8 @@
 VIOLATION_MEASURES = ("lost", "duplicated", "wrong", "real_died")
 EXIT_VIOLATED = 1  # exit code if a measure of VIOLATION_MEASURES is not 0
 EXIT_INTERRUPTED = 130  # exit code after Ctrl-C or SIGTERM
-RUN_SLACK_S = 180.0  # added to the length of the phases for the time limit of a run
-START_ALLOWANCE_PER_INGRESS_S = 0.3  # also added to the time limit, for each ingress
+RUN_SLACK_S = 180.0  # time limit of a run beyond the length of its phases
+START_ALLOWANCE_PER_INGRESS_S = 0.3  # added to the time limit of a run for each ingress
 
 
 def _run(options: RunOptions, timeout_s: float) -> Result:
--- a/scale/environment.py
+++ b/scale/environment.py
@@ -15,7 +15,7 @@
 from scale.results import Environment
 
 BUSY_SHARE = 0.05  # of a core; a process that uses more than this counts as busy
-MIN_SPAN_S = 0.05  # lower bound, because CPU shares over a shorter span are not meaningful
+MIN_SPAN_S = 0.05  # shorter spans count as this long: CPU shares over them are not meaningful
 GIB = 2**30
 UNKNOWN_COMMIT = "unknown"
 
--- a/scale/experiment/change_delays.py
+++ b/scale/experiment/change_delays.py
@@ -35,19 +35,22 @@
 
 
 def measure_change_delays(
-    published: Iterable[PublishedChange], incarnations: Sequence[Incarnation], observed_until: float
+    published_changes: Iterable[PublishedChange], incarnations: Sequence[Incarnation], observed_until: float
 ) -> ChangeDelays:
     """Return the delays of all published changes at all incarnations of the ingresses.
 
-    An incarnation counts for a change if it runs when the change is published.  One that ended before it
-    acted on the change is left out; one that still ran at `observed_until` without having acted is missing.
+    A change is expected at each incarnation that runs when the change is published.  An incarnation that ends
+    without having acted on the change is left out, unless it still ran at `observed_until`: then the pair
+    counts as missing.
     """
-    changes = [_measure_delays_of(change, incarnations, observed_until) for change in published]
-    in_time_count = sum(change.is_in_time for change in changes)
+    delays_by_change = [
+        _measure_delays_of(change, incarnations, observed_until) for change in published_changes
+    ]
+    in_time_count = sum(change.is_in_time for change in delays_by_change)
     return ChangeDelays(
-        delays=[delay for change in changes for delay in change.delays],
-        missing_count=sum(change.missing_count for change in changes),
-        in_force_share=in_time_count / len(changes) if changes else 1.0,
+        delays=[delay for change in delays_by_change for delay in change.delays],
+        missing_count=sum(change.missing_count for change in delays_by_change),
+        in_force_share=in_time_count / len(delays_by_change) if delays_by_change else 1.0,
     )
 
 
--- a/scale/experiment/child.py
+++ b/scale/experiment/child.py
@@ -16,12 +16,12 @@
 from scale.experiment.messages import FROM_CHILD, Failed, Message
 from scale.experiment.pipe import MAX_LINE_BYTES
 
-EXIT_TIMEOUT_S = 2.0  # for a child to exit once its pipe is closed
+EXIT_TIMEOUT_S = 2.0  # time for a child to exit after its pipe was closed
 M = TypeVar("M", bound=Message)
 
 
 class ChildFailedError(ScaleError):
-    """A child process has failed or does not answer in time."""
+    """A child process has failed, has sent an unexpected message or is late with one."""
 
 
 class Child:
--- a/scale/experiment/clients_process.py
+++ b/scale/experiment/clients_process.py
@@ -20,7 +20,7 @@
 from scale.standins.clients import ANSWER_SLACK_S, Client
 from scale.standins.histograms import TimeHistogram
 
-SEED_STEP = 7919  # difference between the seeds of the clients of two ingresses
+SEED_STEP = 7919  # difference between the seeds of the clients of two consecutive ingresses
 
 
 async def serve() -> None:
--- a/scale/experiment/cold_load.py
+++ b/scale/experiment/cold_load.py
@@ -1,4 +1,4 @@
-"""The load of cold backends, counted in windows, relative to the load that overloads them."""
+"""The load that cold backends received, relative to the load that overloads them."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def cold_peak_ratio(model: BackendModel, units_by_start: dict[str, dict[int, float]]) -> float:
-    """Return the highest ratio, over all cold backends, of the units sent to the units that overload one.
+    """Return the highest ratio of the units that a cold backend received to the units that overload it.
 
-    Both are sums over the overload window.  `units_by_start` holds the units by counting window for each
-    start, whose key is ID@UNIX_TIME.
+    Both numbers are sums over a span of `fall_s` seconds; all such spans of each cold start are compared.
+    `units_by_start` has a key ID@UNIX_TIME for each cold start; its values are units by window.
     """
     window_count = max(1, round(model.fall_s / COLD_WINDOW_S))
     max_ratio = 0.0
--- a/scale/experiment/fleet.py
+++ b/scale/experiment/fleet.py
@@ -10,14 +10,14 @@
 from scale.scenario import Scenario
 from scale.standins.registry import Entry, State
 
-UNUSED_ADDRESS: Address = ("127.0.0.1", 9)  # the listed address of backends to which nobody connects
+UNUSED_ADDRESS: Address = ("127.0.0.1", 9)  # listed for backends if no ingress connects to them
 BACKEND_KIND = "std"
 CELL_SIZE = 4  # backends in one cell
 
 
 @dataclass(slots=True)
 class Slot:
-    """The place of one backend in the fleet, with the backend that holds it now."""
+    """The place of one backend in the fleet, and the backend that holds the place now."""
 
     number: int
     zone: str
@@ -61,7 +61,7 @@
 
 
 def make_slots(scenario: Scenario, listener_addresses: list[Address]) -> list[Slot]:
-    """Return the initial backends, which share listeners where there are fewer of those."""
+    """Return a slot for each backend; several backends share a listener if there are fewer listeners."""
     slots = []
     for number in range(scenario.sizes.backends):
         listener = number % len(listener_addresses) if listener_addresses else None
--- a/scale/experiment/lag.py
+++ b/scale/experiment/lag.py
@@ -10,7 +10,7 @@
 
 
 class LagSampler:
-    """A sampler that records at a fixed period how late the event loop runs a timer's callback."""
+    """Records at a fixed period how late the event loop calls the callback of a timer."""
 
     def __init__(self, lag: TimeHistogram) -> None:
         self._lag = lag
--- a/scale/experiment/launch.py
+++ b/scale/experiment/launch.py
@@ -20,13 +20,13 @@
 from scale.standins.counter import CounterServer
 from scale.standins.registry import Registry
 
-START_TIMEOUT_S = 60.0  # for a child process to be ready
-START_TIMEOUT_PER_INGRESS_S = 0.2  # added to it for each hollow ingress
+START_TIMEOUT_S = 60.0  # time for a child process to be ready
+START_TIMEOUT_PER_INGRESS_S = 0.2  # added to START_TIMEOUT_S for each hollow ingress
 HOLLOW_GROUP = "hollow"  # name of the agent's listener for all hollow ingresses
 
 
 class Launcher:
-    """A launcher of the parts of one run: stand-ins, child processes and real ingresses."""
+    """Starts the stand-ins, the child processes and the real ingresses of one run."""
 
     def __init__(self, scenario: Scenario, project: Path, real_command: str, stack: AsyncExitStack) -> None:
         self._scenario = scenario
@@ -42,7 +42,7 @@
         agent = Agent(Registry(slot.make_entry() for slot in slots))
         self._stack.callback(agent.close)
         counter = self._make_counter()
-        known_endpoints = agent.registry.encode_answer(None).decode()
+        known_endpoints = agent.registry.encode_response_body(None).decode()
         counter_address = await counter.listen()
         agent_address = await agent.listen(HOLLOW_GROUP)
         workers = await self._start_workers(agent_address, counter_address, known_endpoints)
--- a/scale/experiment/measures.py
+++ b/scale/experiment/measures.py
@@ -18,7 +18,7 @@
 
 
 def share(part: float, whole: float) -> float:
-    """Return a part's share of a whole, or 0 where the whole is 0."""
+    """Return the share of a part in a whole, or 0 if the whole is 0."""
     return part / whole if whole else 0.0
 
 
--- a/scale/experiment/memory_probe.py
+++ b/scale/experiment/memory_probe.py
@@ -12,7 +12,7 @@
 from scale.scenario import load_scenario
 from scale.standins.registry import Entry, Registry
 
-SAMPLED_GATEWAYS = 4  # number of instances over which the growth of memory is averaged
+SAMPLED_GATEWAYS = 4  # gateways over which the growth of memory is averaged
 CONTROL_BYTES = 300 * 1024  # memory of the watch and the counter's client with their buffers
 
 
@@ -26,7 +26,7 @@
     scenario = load_scenario(scenario_path)
     zones = scenario.sizes.zones
     entries = [Entry(f"b{n}", ("127.0.0.1", 1), zone_name(n % zones)) for n in range(scenario.sizes.backends)]
-    known_endpoints = decode_known_endpoints(Registry(entries).encode_answer(None).decode())
+    known_endpoints = decode_known_endpoints(Registry(entries).encode_response_body(None).decode())
     settings = decode_settings(ingress_settings(scenario, 0))
     process = psutil.Process()
     gateways = [Gateway(settings, 0)]
--- a/scale/experiment/messages.py
+++ b/scale/experiment/messages.py
@@ -111,7 +111,7 @@
 
 
 class Ready(Message):
-    """Answer of a child that is ready; the backends' process gives the addresses of its listeners."""
+    """Notice of a child that it is ready; the backends' process adds the addresses of its listeners."""
 
     kind: Literal["ready"] = "ready"
     addresses: list[Address] = []
--- a/scale/experiment/runner.py
+++ b/scale/experiment/runner.py
@@ -26,8 +26,8 @@
 from scale.scenario import Scenario
 
 SETTLE_TIMEOUT_S = 10.0  # time after the load for the ingresses to act on the last changes
-REPORT_TIMEOUT_S = 60.0  # added to the longest deadline, for the last report
-PROGRESS_PERIOD_S = 0.1  # time between two checks or reports of progress
+REPORT_TIMEOUT_S = 60.0  # time for each report of a child process, beyond the longest deadline
+PROGRESS_PERIOD_S = 0.1  # time between two progress reports, and between two checks of the watches
 BYTES_PER_MEGABYTE = 1e6
 MEASURE_DIGITS = 6  # decimals of a measure in a result
 ProgressCallback = Callable[[float], None]  # is called with the seconds since the previous call
@@ -53,7 +53,7 @@
         self._log = structlog.get_logger().bind(scenario=options.scenario.name)
 
     async def run(self) -> Result:
-        """Run the scenario and return its result; stop all started parts, also after a failure."""
+        """Run the scenario and return its result; stop all started parts, even after a failure."""
         commit, dirty = read_commit(self._options.project)
         taken_at = now()
         started_at = time.monotonic()
@@ -106,7 +106,7 @@
             last_report_at = time.monotonic()
 
     async def _run_load_phase(self, timeline: Timeline) -> Phase:
-        """Run the load and its events; wait beyond `duration_s` for events that are not done by then."""
+        """Run the load and the events; extend the phase beyond `duration_s` until all events have ended."""
         self._log.info("load", seconds=self._scenario.duration_s)
         start = take_sample(timeline.parts)
         for child in timeline.parts.load_generators():
@@ -120,7 +120,10 @@
         return Phase(start, take_sample(timeline.parts))
 
     async def _wait_for_watches(self, parts: Parts) -> None:
-        """Wait until every ingress watches from the newest version, which shows that it has acted on it."""
+        """Wait until every ingress has acted on the newest version, or for SETTLE_TIMEOUT_S.
+
+        The watch of an ingress names the version that the ingress has acted on.
+        """
         give_up_at = time.monotonic() + SETTLE_TIMEOUT_S
         while time.monotonic() < give_up_at:
             running_count = sum(ingress.is_running for ingress in parts.real_ingresses.values())
--- a/scale/experiment/samples.py
+++ b/scale/experiment/samples.py
@@ -14,9 +14,9 @@
 
     taken_at: float  # monotonic clock
     discovery_calls: int
-    whole_lists: int  # answers of discovery that held the whole list
+    complete_lists: int  # responses of discovery that contained the complete list
     counter_calls: int
-    control_bytes: int  # of discovery and the counter, in both directions
+    control_bytes: int  # to and from discovery and the counter
     worker_cpu_s: float
     real_cpu_s: float
 
@@ -42,7 +42,7 @@
     return Sample(
         taken_at=time.monotonic(),
         discovery_calls=sum(group.calls for group in listener_counts),
-        whole_lists=sum(group.whole_lists for group in listener_counts),
+        complete_lists=sum(group.complete_lists for group in listener_counts),
         counter_calls=counter.calls,
         control_bytes=discovery_bytes + counter.bytes_in + counter.bytes_out,
         worker_cpu_s=sum(worker.measure_cpu_s() for worker in parts.workers),
@@ -67,7 +67,7 @@
     idle_calls = idle.end.discovery_calls - idle.start.discovery_calls
     return {
         "discovery_calls_per_s": (end.discovery_calls - start.discovery_calls) / load.duration_s,
-        "discovery_whole_lists": float(end.whole_lists - start.whole_lists),
+        "discovery_whole_lists": float(end.complete_lists - start.complete_lists),
         "counter_calls_per_s_fleet": (end.counter_calls - start.counter_calls) / load.duration_s,
         "control_bytes_per_s": (end.control_bytes - start.control_bytes) / load.duration_s / ingress_count,
         "idle_control_bytes_per_s": idle_bytes / idle.duration_s / ingress_count,
--- a/scale/experiment/summary.py
+++ b/scale/experiment/summary.py
@@ -78,7 +78,7 @@
         )
     )
     if real_incarnations:
-        # Report real ingresses separately: hollow ones share a process and delay each other in it.
+        # Report real ingresses separately: hollow ones share a process, in which they delay each other.
         measures |= change_measures(
             measure_change_delays(agent.published_changes, real_incarnations, record.observed_until), "real_"
         )
@@ -87,7 +87,7 @@
 
 
 def _real_incarnation(real: RealIncarnation, agent: Agent) -> Incarnation:
-    """Return the incarnation of a real ingress; a watch from a version shows that it acted on that."""
+    """Return the incarnation of a real ingress, with the versions that its watches show it has acted on."""
     ended_at = real.ended_at if real.ended_at is not None else float("inf")
     acted = [
         (version, at)
--- a/scale/experiment/timeline.py
+++ b/scale/experiment/timeline.py
@@ -23,8 +23,8 @@
 from scale.scenario import AnyEvent, Change, Churn, DiscoveryDown, Restart, Scenario, ZoneLost
 from scale.standins.agent import AgentMode
 
-CLIENT_LEAVE_DELAY_S = 0.3  # time from SIGTERM until clients stop using the ingress
-WEIGHT_STEP = 0.01  # a configuration change switches a weight between 1 and 1 plus this
+CLIENT_LEAVE_DELAY_S = 0.3  # time from SIGTERM until clients send nothing more to the ingress
+WEIGHT_STEP = 0.01  # each configuration change switches a weight between 1 and 1 + WEIGHT_STEP
 
 
 @dataclass(slots=True)
--- a/scale/experiment/worker.py
+++ b/scale/experiment/worker.py
@@ -16,7 +16,7 @@
 from scale.hollow.ingress import HollowIngress
 from scale.hollow.setup import HollowSetup
 
-DRAIN_SLACK_S = 2.0  # added to the longest deadline; requests unanswered after that count as lost
+DRAIN_SLACK_S = 2.0  # time beyond the longest deadline after which unanswered requests count as lost
 
 
 class Worker:
@@ -38,7 +38,7 @@
         self.lag_sampler = LagSampler(self.state.worker_lag)
 
     async def start(self) -> None:
-        """Create all ingresses, and let the event loop run between two of them."""
+        """Create all ingresses; let the event loop run after each, so that it is not blocked for long."""
         for number in self.start_message.numbers:
             self._create_ingress(number)
             await asyncio.sleep(0)
@@ -91,7 +91,7 @@
                     await ingress.requests.wait_until_drained()
 
     async def finish(self) -> HollowReport:
-        """Wait for the answers to open requests, stop all ingresses and return the report."""
+        """Stop the load, wait for the answers to open requests, stop all ingresses and return the report."""
         for ingress in self.ingresses.values():
             ingress.stop_load()
         await self._wait_for_open_requests()
@@ -100,21 +100,21 @@
             ingress.requests.close_all("lost")
             self.ended_incarnations.append(ingress.incarnation)
         await asyncio.gather(*(ingress.stop() for ingress in self.ingresses.values()))
-        world = self.state
+        state = self.state
         return HollowReport(
-            counts=dict(world.counts),
+            counts=dict(state.counts),
             incarnations=self.ended_incarnations,
-            cold_units=world.cold_units,
-            request_cpu=world.request_cpu.encode(),
-            change_cpu=world.change_cpu.encode(),
-            counter_wait=world.counter_wait.encode(),
-            worker_lag=world.worker_lag.encode(),
+            cold_units=state.cold_units,
+            request_cpu=state.request_cpu.encode(),
+            change_cpu=state.change_cpu.encode(),
+            counter_wait=state.counter_wait.encode(),
+            worker_lag=state.worker_lag.encode(),
         )
 
 
 def decode_known_endpoints(body: str) -> api.EndpointUpdate:
-    """Decode a whole list in the discovery agent's format into the initial endpoint list of an ingress."""
-    source = json.loads(body)
+    """Decode a complete list in the agent's format into the initial endpoint list of an ingress."""
+    response = json.loads(body)
     backends = tuple(
         api.Backend(
             row["id"],
@@ -125,6 +125,6 @@
             row["weight"],
             row["started_ms"] / 1000,
         )
-        for row in source["servers"]
+        for row in response["servers"]
     )
-    return api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, backends, source["version"])
+    return api.EndpointUpdate(api.EndpointUpdateKind.RESTORED, backends, response["version"])
--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -1,4 +1,4 @@
-"""The attempts of one hollow ingress: timers stand in for the backends, with the scenario's latency."""
+"""The attempts of one hollow ingress: timers simulate the backends, with the latency of the scenario."""
 
 from __future__ import annotations
 
@@ -19,14 +19,14 @@
 
     def __init__(
         self,
-        world: WorkerState,
+        worker_state: WorkerState,
         requests: RequestTable,
         max_attempts: int,
         rng: random.Random,
         clock: Clock,
         feed: Callable[[api.Event], None],
     ) -> None:
-        self._world = world
+        self._worker_state = worker_state
         self._requests = requests
         self._max_attempts = max_attempts
         self._rng = rng
@@ -37,7 +37,8 @@
     def send(self, action: api.SendAttempt) -> None:
         """Start an attempt, and cancel the attempt of the same request that is in flight.
 
-        It is not sent, and is reported so, if the request is not open or has used up its attempts.
+        If the request is not open or has used up its attempts, nothing is sent and the decision module is
+        told that the attempt was superseded.
         """
         request = self._requests.get(action.id)
         if request is None or request.attempt_count >= self._max_attempts:
@@ -49,7 +50,7 @@
         attempt = Attempt(request.attempt_count, action.backend, time.monotonic(), action.timeout)
         request.current_attempt = attempt
         request.attempt_count += 1
-        self._world.counts["sends"] += 1
+        self._worker_state.counts["sends"] += 1
         self._start_timer(action.id, request, attempt)
 
     def cancel(self, request_id: str, number: int) -> None:
@@ -71,23 +72,23 @@
 
     def _start_timer(self, request_id: str, request: OpenRequest, attempt: Attempt) -> None:
         """Draw the latency of an attempt, and start the timer that ends it."""
-        if self._world.is_unreachable(attempt.backend):
+        if self._worker_state.is_unreachable(attempt.backend):
             self._end_after(0.0, request_id, attempt, api.Outcome.CONNECT_FAILED)
             return
-        self._world.count_cold_units(attempt.backend, request.units, self._clock())
-        model = self._world.scenario.backend
+        self._worker_state.count_cold_units(attempt.backend, request.units, self._clock())
+        model = self._worker_state.scenario.backend
         latency = self._rng.lognormvariate(math.log(model.latency_ms / 1000), model.latency_sigma)
-        if self._world.is_silent(attempt.backend) or latency > attempt.timeout:
+        if self._worker_state.is_silent(attempt.backend) or latency > attempt.timeout:
             self._end_after(attempt.timeout, request_id, attempt, api.Outcome.TIMEOUT)
         else:
-            attempt.timer = self._loop.call_later(latency, self._answer, request_id, attempt)
+            attempt.timer = self._loop.call_later(latency, self._handle_due_reply, request_id, attempt)
 
     def _end_after(self, delay: float, request_id: str, attempt: Attempt, outcome: api.Outcome) -> None:
         attempt.timer = self._loop.call_later(delay, self._end, request_id, attempt, outcome)
 
-    def _answer(self, request_id: str, attempt: Attempt) -> None:
-        """End an attempt when its answer is due; it times out if its backend has become silent meanwhile."""
-        if self._world.is_silent(attempt.backend):
+    def _handle_due_reply(self, request_id: str, attempt: Attempt) -> None:
+        """End an attempt whose reply is due, or let it time out if its backend is silent by now."""
+        if self._worker_state.is_silent(attempt.backend):
             remaining_s = attempt.sent_at + attempt.timeout - time.monotonic()
             self._end_after(max(0.0, remaining_s), request_id, attempt, api.Outcome.TIMEOUT)
         else:
--- a/scale/hollow/control.py
+++ b/scale/hollow/control.py
@@ -20,7 +20,7 @@
 
 
 class ControlTraffic:
-    """Keeps the loopback connections to the agent and the counter, and feeds what they deliver as events."""
+    """Connects to the agent and the counter, and feeds their updates and replies to the decision module."""
 
     def __init__(
         self,
@@ -31,7 +31,7 @@
         feed: Callable[[api.Event], None],
     ) -> None:
         self._setup = setup
-        self._world = setup.worker_state
+        self._worker_state = setup.worker_state
         self._incarnation = incarnation
         self._rng = rng
         self._feed = feed
@@ -53,7 +53,7 @@
 
     def increment_counter(self, action: api.IncrementCounter) -> None:
         """Send a call to the counter."""
-        self._world.counts["counter_calls"] += 1
+        self._worker_state.counts["counter_calls"] += 1
         self._counter.increment(action.name, action.add, action.lifetime)
 
     async def stop(self) -> None:
@@ -63,21 +63,21 @@
             await self._cancel_watch(self._watch_task)
 
     async def _cancel_watch(self, watch_task: asyncio.Task[None]) -> None:
-        """Cancel the watch until it ends.
+        """Cancel the watch, and wait until it has ended.
 
-        A cancellation may be lost if it coincides with a timeout in the HTTP client, so it is repeated.
+        The cancellation is repeated: it may be lost if it coincides with a timeout in the HTTP client.
         """
         watch_task.cancel()
         while not (await asyncio.wait([watch_task], timeout=CANCEL_TIMEOUT_S))[0]:
-            self._world.counts["watch_cancels_repeated"] += 1
+            self._worker_state.counts["watch_cancels_repeated"] += 1
             watch_task.cancel()
 
     def _handle_counter_reply(self, reply: api.CounterReply) -> None:
-        self._world.counts["counter_unanswered"] += reply.outcome is not api.Outcome.OK
+        self._worker_state.counts["counter_unanswered"] += reply.outcome is not api.Outcome.OK
         self._feed(reply)
 
     def _apply_update(self, kind: api.EndpointUpdateKind, update: EndpointList) -> None:
-        """Feed an update of the endpoint list, then record that it was acted on."""
-        self._world.apply_backends(update.backends)
+        """Feed an update of the endpoint list to the decision module, then record that it was acted on."""
+        self._worker_state.apply_backends(update.backends)
         self._feed(api.EndpointUpdate(kind, tuple(update.backends), update.version))
         self._incarnation.acted.append((update.version, time.monotonic()))
--- a/scale/hollow/ingress.py
+++ b/scale/hollow/ingress.py
@@ -1,7 +1,7 @@
 """Hollow ingresses: the decision module with its control traffic, but without client or backend sockets.
 
-Requests come from a seeded generator, and the answers of backends come after the scenario's latency.  The
-watch on the discovery agent and the calls to the counter use real loopback connections.
+Requests come from a seeded generator, and replies of backends are simulated with the latency of the scenario.
+The watch on the discovery agent and the calls to the counter use real loopback connections.
 """
 
 from __future__ import annotations
@@ -64,7 +64,7 @@
         self._arrivals.stop()
 
     async def stop(self) -> None:
-        """End the incarnation; as in a crash, the open requests are cut off without an answer."""
+        """End the incarnation as a crash does: open requests get no answer, and are counted as cut."""
         self._module.stop()
         self.incarnation.ended = time.monotonic()
         self.stop_load()
--- a/scale/hollow/module.py
+++ b/scale/hollow/module.py
@@ -1,4 +1,4 @@
-"""The decision module of one hollow ingress: hands it one event at a time and measures their CPU time."""
+"""The decision module of one hollow ingress, with a measurement of the CPU time of each event."""
 
 from __future__ import annotations
 
@@ -14,26 +14,26 @@
 
 
 class MeteredModule:
-    """Hands events to a decision module, records their CPU time, and passes its actions to `execute`."""
+    """Hands events to a decision module, records the CPU time, and passes the actions to `execute`."""
 
     def __init__(
         self,
         gateway: Gateway,
         clock: Clock,
-        world: WorkerState,
+        worker_state: WorkerState,
         requests: RequestTable,
         execute: Callable[[api.Action], None],
     ) -> None:
         self._gateway = gateway
         self._clock = clock
-        self._world = world
+        self._worker_state = worker_state
         self._requests = requests
         self._execute = execute
         self._is_stopped = False
         self._events = EventQueue(self._handle)
 
     def feed(self, event: api.Event) -> None:
-        """Handle an event now, or after the one that is being handled; ignore it once stopped."""
+        """Handle an event now, or after the one that is being handled; ignore it after `stop`."""
         self._events.feed(event)
 
     def stop(self) -> None:
@@ -49,7 +49,7 @@
         actions = list(self._gateway.handle(self._clock(), event))
         cpu_s = time.thread_time() - started_at
         if isinstance(event, api.EndpointUpdate) and event.kind is api.EndpointUpdateKind.UPDATE:
-            self._world.change_cpu.record(cpu_s)
+            self._worker_state.change_cpu.record(cpu_s)
         if request is not None:
             request.cpu_s += cpu_s
         self._requests.arriving_request = request if isinstance(event, api.Request) else None
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -48,12 +48,12 @@
 
 
 class RequestTable:
-    """The open requests and the recently answered ones, for which second final answers are detected."""
+    """The open requests, and the ids of recently answered ones, to detect second final answers."""
 
-    def __init__(self, world: WorkerState) -> None:
-        self.arriving_request: OpenRequest | None = None  # its arrival is being handled by the module
-        self._world = world
-        self._request_count = 0  # all requests so far
+    def __init__(self, worker_state: WorkerState) -> None:
+        self.arriving_request: OpenRequest | None = None  # whose arrival the module is handling now
+        self._worker_state = worker_state
+        self._request_count = 0  # requests added so far
         self._open_requests: dict[str, OpenRequest] = {}  # by id
         self._answered_ids: set[str] = set()  # requests for which a second final answer is detected
         self._drained = asyncio.Event()
@@ -65,7 +65,7 @@
         request_id = str(self._request_count)
         self._open_requests[request_id] = OpenRequest(time.monotonic(), units)
         self._drained.clear()
-        self._world.counts["requests"] += 1
+        self._worker_state.counts["requests"] += 1
         return request_id
 
     def get(self, request_id: str) -> OpenRequest | None:
@@ -73,29 +73,28 @@
         return self._open_requests.get(request_id)
 
     def record_decision(self, request: OpenRequest) -> None:
-        """Record that the first attempt or the final answer of a request has come.
+        """Record that a request has its first attempt or its final answer.
 
-        If the decision module did not decide while it handled the arrival, the request has waited for the
-        counter.
+        A request that gets neither while the decision module handles its arrival has waited for the counter.
         """
         if request.is_decided:
             return
         request.is_decided = True
         if request is not self.arriving_request:
-            self._world.counts["waited"] += 1
-            self._world.counter_wait.record(time.monotonic() - request.arrived_at)
+            self._worker_state.counts["waited"] += 1
+            self._worker_state.counter_wait.record(time.monotonic() - request.arrived_at)
 
     def finish(self, request_id: str, outcome: str) -> None:
         """Count the final answer to a request under an outcome; a second one is counted as a duplicate."""
         request = self._open_requests.pop(request_id, None)
         if request is None:
             if request_id in self._answered_ids:
-                self._world.counts["duplicated"] += 1
+                self._worker_state.counts["duplicated"] += 1
             return
         self.record_decision(request)
         self._answered_ids.add(request_id)
-        self._world.counts[outcome] += 1
-        self._world.request_cpu.record(request.cpu_s)
+        self._worker_state.counts[outcome] += 1
+        self._worker_state.request_cpu.record(request.cpu_s)
         if request.current_attempt is not None:
             request.current_attempt.cancel_timer()
         self._signal_if_drained()
@@ -105,8 +104,8 @@
         self._answered_ids.discard(request_id)
 
     def close_all(self, outcome: str) -> None:
-        """End all open requests without an answer, and count them under an outcome."""
-        self._world.counts[outcome] += len(self._open_requests)
+        """Close all open requests without an answer, and count them under an outcome."""
+        self._worker_state.counts[outcome] += len(self._open_requests)
         for request in self._open_requests.values():
             if request.current_attempt is not None:
                 request.current_attempt.cancel_timer()
--- a/scale/hollow/setup.py
+++ b/scale/hollow/setup.py
@@ -19,11 +19,11 @@
     """The parameters of one incarnation of a hollow ingress."""
 
     worker_state: WorkerState
-    """What all hollow ingresses of the process share."""
+    """The state that all hollow ingresses of the process share."""
     number: int
     """The number of the ingress."""
-    earlier_incarnations: int
-    """How many incarnations of this ingress came before this one."""
+    earlier_incarnation_count: int
+    """The number of incarnations of this ingress before this one."""
     agent_address: Address
     """The address of the discovery agent."""
     counter_address: Address
@@ -35,4 +35,4 @@
     def seed(self) -> int:
         """The seed of all random draws of the incarnation."""
         seed = self.worker_state.scenario.seed
-        return seed + SEED_STEP * self.number + INCARNATION_SEED_STEP * self.earlier_incarnations
+        return seed + SEED_STEP * self.number + INCARNATION_SEED_STEP * self.earlier_incarnation_count
--- a/scale/real.py
+++ b/scale/real.py
@@ -21,8 +21,8 @@
 from scale.scenario import Scenario
 from scale.standins.clients import ping
 
-START_TIMEOUT_S = 20.0  # for a started process to answer PING
-STOP_SLACK_S = 1.5  # added to the longest deadline, between SIGTERM and SIGKILL
+START_TIMEOUT_S = 20.0  # time for a started process to answer PING
+STOP_SLACK_S = 1.5  # time beyond the longest deadline between SIGTERM and SIGKILL
 POLL_PERIOD_S = 0.05
 EXIT_COMMAND_NOT_FOUND = 127  # exit code of a shell that can't find the command
 
--- a/scale/report/leases.py
+++ b/scale/report/leases.py
@@ -1,4 +1,4 @@
-"""Size the next planned mechanism: quota leases that are renewed off the request path."""
+"""Compute the load of a planned mechanism: quota leases that are renewed outside the request path."""
 
 from __future__ import annotations
 
@@ -15,7 +15,7 @@
     busy_term: float = 2.0  # duration of a lease of a tenant that uses much of its quota
     calm_term: float = 20.0  # duration of any other lease
     batch_period: float = 0.5  # time between two batches of renewals from an ingress to a shard
-    shards_per_region: int = 5  # they run on the machines set aside for control
+    shards_per_region: int = 5  # shards run on the machines set aside for control
     floor_share: float = 0.5  # share of a ceiling that is never leased but split evenly among the regions
 
 
--- a/scale/report/limits.py
+++ b/scale/report/limits.py
@@ -71,8 +71,8 @@
 def limits_in_order(evidence: Evidence, constants: Constants) -> list[Limit]:
     """Return all limits in the order of the page's table.
 
-    Limits that are reached by the full size come first, the earliest of them first, then those that were not
-    measured, then those past the full size.
+    The limits that are reached on the way to the full size come first, the earliest at the top, then those
+    that were not measured, then those that are reached past the full size or never.
     """
     limits = [
         *_missing_mechanism_limits(),
@@ -98,7 +98,10 @@
 
 
 def _missing_mechanism_limits() -> list[Limit]:
-    """Return the limits of features without any mechanism: the first or second of a kind reaches them."""
+    """Return the limits of features that the ingress lacks.
+
+    The first configuration change, the second service and the second region reach them.
+    """
     return [
         Limit(
             "configuration changes in force in a running ingress",
--- a/scale/report/run_tables.py
+++ b/scale/report/run_tables.py
@@ -1,4 +1,4 @@
-"""The page's tables of the runs, and of the costs on the older and the newer commit."""
+"""The page's tables of the runs, and of costs on the older and the newer commit."""
 
 from __future__ import annotations
 
--- a/scale/report/versions.py
+++ b/scale/report/versions.py
@@ -1,4 +1,4 @@
-"""Select the runs that the page shows: each sweep's before and after a change, and the newest scenarios."""
+"""Select the runs that the page shows: of sweeps the oldest and the newest commit, else the newest only."""
 
 from __future__ import annotations
 
--- a/scale/results.py
+++ b/scale/results.py
@@ -50,7 +50,7 @@
 class ScenarioEvent(StrictModel):
     """An event of a scenario, or a later step of one, as it took place."""
 
-    at: float  # seconds since the load began
+    at: float  # in seconds since the load began
     kind: str
     values: dict[str, float] = {}
     text: str = ""
@@ -65,7 +65,7 @@
     commit: str
     dirty: bool  # whether the measured package differed from the commit
     taken_at: AwareDatetime
-    seconds: float  # that the measurement took
+    seconds: float  # duration of the measurement
     environment: Environment
     points: list[Point]
     events: list[ScenarioEvent] = []
--- a/scale/scenario.py
+++ b/scale/scenario.py
@@ -52,8 +52,8 @@
     queue_s: Positive = 1.0  # longest wait in the queue; the backend rejects requests beyond that
     cold_s: Positive = 10.0  # time from a start until the backend is warm
     cold_share: Share = 0.2  # share of the capacity that a backend has when it starts
-    fall_factor: Positive = 2.5  # multiple of the present capacity that overloads a cold backend ...
-    fall_s: Positive = 2.0  # ... over this time
+    fall_factor: Positive = 2.5  # multiple of its present capacity at which load overloads a cold backend
+    fall_s: Positive = 2.0  # time over which the load for `fall_factor` is counted
     drain_s: Positive = 1.0  # time from the start of a drain until the backend leaves the endpoint list
     keepalive_s: Positive = 30.0  # time after which an idle connection is closed
 
@@ -66,11 +66,11 @@
     aim_s: Positive  # latency objective
     deadline_s: Positive
     worth: Positive = 1.0  # priority weight
-    late_worth: NonNegative = 0.0  # share of the weight that an answer beyond the objective keeps
+    late_worth: NonNegative = 0.0  # share of the weight that an answer after the objective earns
     semantics: Literal["safe", "keyed", "unsafe"] = (
         "safe"  # idempotent, with an idempotency key, or not idempotent
     )
-    dedup_window_s: NonNegative = 0.0  # time for which backends drop repeats of a key
+    dedup_window_s: NonNegative = 0.0  # time for which backends recognise an idempotency key
 
 
 class PlanModel(StrictModel):
@@ -90,10 +90,10 @@
 class CounterModel(StrictModel):
     """The shared counter: names are distributed over `parts`, each with a limited call rate and queue."""
 
-    timeout_ms: Positive = 50.0  # time that an ingress waits for an answer
+    timeout_ms: Positive = 50.0  # time that an ingress waits for a reply
     parts: Annotated[int, Field(ge=1, le=1024)] = 4
     calls_per_s: Positive = 2000.0  # of one part
-    queue: Annotated[int, Field(ge=1)] = 200  # most calls that wait at one part
+    queue: Annotated[int, Field(ge=1)] = 200  # maximum number of calls that wait at one part
 
 
 class Event(StrictModel):
--- a/scale/slopes/counter.py
+++ b/scale/slopes/counter.py
@@ -1,8 +1,8 @@
 """A model of the counter: totals by name, and a queue for each of its parts.
 
-Only some ingresses of the fleet are simulated; the others are assumed to call as often, so that the simulated
-ones get their share of the capacity.  The queue is modelled as a fluid: the calls of a whole fleet arrive
-evenly, so that a queue grows only while the rate of calls exceeds the capacity.
+Only some ingresses of the fleet are simulated.  The others are assumed to call as often, so the simulated
+ones have only their share of the capacity.  The queue is modelled as a fluid: the calls of the entire fleet
+arrive evenly, so a queue grows only while the rate of calls exceeds the capacity.
 """
 
 from __future__ import annotations
@@ -49,7 +49,7 @@
 
 
 class CounterStandIn:
-    """The counter as `callers` ingresses of a fleet see it."""
+    """The counter with the share of its capacity that `callers` ingresses of a fleet have."""
 
     def __init__(self, model: CounterModel, sizes: Sizes, callers: int, timeout_s: float, seed: int) -> None:
         part_capacity = callers * model.calls_per_request * sizes.requests_per_s / model.parts
--- a/scale/slopes/job.py
+++ b/scale/slopes/job.py
@@ -32,11 +32,11 @@
 
     @property
     def first_ingress(self) -> int:
-        """The number of the first simulated ingress; it and the ones after it serve the simulated tenants."""
+        """The number of the first of the `spread` ingresses that serve the simulated tenants."""
         return (self.ingresses - self.spread) // 2
 
     @property
-    def tenants_here(self) -> int:
+    def tenants_per_ingress(self) -> int:
         """The number of tenants that one ingress serves."""
         return max(1, round(self.tenants * self.spread / self.ingresses))
 
@@ -55,11 +55,11 @@
     jitter_s: float = Field(default=0.001, gt=0)
     """The mean of an exponentially distributed addition to the latency."""
     max_queue_s: float = Field(default=0.2, gt=0)
-    """The most work that a part may have in its queue, in seconds; calls beyond it are rejected."""
+    """The longest queue of a part, in seconds of work; calls beyond it are rejected."""
 
 
 class Pass(Enum):
-    """What a child measures; each pass has its own process, so that none affects another."""
+    """What a child process measures; each pass has its own process, so that no pass affects another."""
 
     TIMES = "times"
     OPERATIONS = "operations"
@@ -77,13 +77,13 @@
     counter: CounterModel = CounterModel()
     seed: int = 1
     cpu_budget_s: float = Field(default=4.0, gt=0)
-    """The CPU time of the `times` pass, of which the limits of its phases are multiples."""
+    """The CPU budget of the `times` pass; the limits of its phases are multiples of it."""
     warm_up_requests: int = Field(default=400, ge=1)
-    """Requests before the measurement; enough for the limits of the backends in use to grow to their load."""
+    """Requests before the measurement, so that the concurrency limits of backends grow to the load."""
     operation_samples: int = Field(default=100, ge=1)
-    """The most requests whose function calls are counted."""
+    """The maximum number of requests whose function calls are counted."""
     measured_s: float = Field(default=6.0, gt=0)
-    """The most simulated time that the `times` pass measures requests for."""
+    """The maximum simulated time for which the `times` pass measures requests."""
 
 
 class Measurement(BaseModel):
--- a/scale/slopes/ledger.py
+++ b/scale/slopes/ledger.py
@@ -29,7 +29,7 @@
     attempt_count: int = 0
     """Attempts sent so far."""
     awaits_counter: bool = False
-    """Whether it was neither sent nor rejected on arrival: the counter was asked first."""
+    """Whether it waited for the counter: on arrival, it was neither sent nor given a final answer."""
 
 
 @dataclass(slots=True)
@@ -43,7 +43,7 @@
     control_cost: int = 0
     """The cost of all timers and counter replies."""
     counter_waits_s: list[float] = field(default_factory=list)
-    """How long each request that waited for the counter did so, in seconds."""
+    """The waits for the counter, in seconds, of the requests that waited for it."""
     request_count: int = 0
     rejected_count: int = 0
     failed_count: int = 0
@@ -60,7 +60,7 @@
     def __init__(self) -> None:
         self.statistics = Statistics()
         self.is_measuring = False
-        self.arrival_count = 0  # all requests so far
+        self.arrival_count = 0  # requests that have arrived so far, measured or not
         self.open_requests: dict[str, OpenRequest] = {}  # by id
         # By the name of a count: the id of the request that caused the call that is in flight for it.
         self._request_by_count: dict[int, str] = {}
--- a/scale/slopes/listing.py
+++ b/scale/slopes/listing.py
@@ -32,14 +32,14 @@
     }
 
 
-def encode_answer(version: int, is_full: bool, entries: list[Entry]) -> bytes:
-    """Return an answer of the agent, which holds the complete list or changed entries."""
-    answer = {"version": version, "full": is_full, "servers": entries}
-    return json.dumps(answer, separators=(",", ":")).encode()
+def encode_response_body(version: int, is_complete: bool, entries: list[Entry]) -> bytes:
+    """Return the body of an agent's response with the complete list or with changed entries."""
+    response = {"version": version, "full": is_complete, "servers": entries}
+    return json.dumps(response, separators=(",", ":")).encode()
 
 
 def _decode_without_parser(body: bytes) -> tuple[Backend, ...]:
-    """Decode an answer without the code of the measured version."""
+    """Decode a response body without the code of the measured version."""
     rows = json.loads(body)["servers"]
     return tuple(
         Backend(
@@ -64,7 +64,7 @@
 
 
 def find_decoder() -> Callable[[bytes], tuple[Backend, ...]]:
-    """Return the function that decodes answers, with the code of the measured version where it can.
+    """Return a function that decodes response bodies, if possible with the code of the measured version.
 
     `parse_endpoint_list` takes bytes in some versions and decoded JSON in others; some versions lack it.
     """
@@ -78,7 +78,7 @@
 
 
 class BackendList:
-    """The list of backends, and a seeded series of changes of one entry each that nearly keeps its length."""
+    """The list of backends, with seeded changes of one entry each that hardly change its length."""
 
     def __init__(self, count: int, seed: int) -> None:
         self.entries = [build_entry(number) for number in range(count)]
@@ -88,14 +88,15 @@
         self._rng = random.Random(seed)
         self._draining_entries: list[Entry] = []
 
-    def encode_full_list(self) -> bytes:
-        """Return the answer with the complete list."""
-        return encode_answer(self.version, True, self.entries)
+    def encode_complete_list(self) -> bytes:
+        """Return the response body with the complete list."""
+        return encode_response_body(self.version, True, self.entries)
 
     def encode_next_change(self, now: float) -> bytes:
-        """Make the next change, and return the answer with it.
+        """Make the next change, and return the response body with it.
 
-        In turn, a backend is added, begins to drain, is removed, and is restarted.
+        The changes repeat in this order: a backend is added, one begins to drain, the draining one is
+        removed, and one is restarted.
         """
         step = self._change_count % 4
         self._change_count += 1
@@ -110,7 +111,7 @@
             entry = self._remove(self._draining_entries.pop())
         else:
             entry = self._change_random_entry(started_ms=int(now * 1000))
-        return encode_answer(self.version, False, [entry])
+        return encode_response_body(self.version, False, [entry])
 
     def _change_random_entry(self, **changes: object) -> Entry:
         index = self._rng.randrange(len(self.entries))
@@ -118,5 +119,5 @@
         return entry
 
     def _remove(self, entry: Entry) -> Entry:
-        self.entries = [other for other in self.entries if other["id"] != entry["id"]]
+        self.entries = [kept_entry for kept_entry in self.entries if kept_entry["id"] != entry["id"]]
         return entry | {"state": "gone"}
--- a/scale/slopes/meters.py
+++ b/scale/slopes/meters.py
@@ -1,4 +1,4 @@
-"""Meters of the decision module: they measure what it costs to handle an event, in CPU time or in calls."""
+"""Meters: they measure the cost of an event in the decision module, in CPU time or in function calls."""
 
 from __future__ import annotations
 
--- a/scale/slopes/passes/common.py
+++ b/scale/slopes/passes/common.py
@@ -14,7 +14,7 @@
 NANOSECONDS_PER_US = 1e3
 NANOSECONDS_PER_MS = 1e6
 MEBIBYTE = 2**20  # bytes
-MIN_SAMPLES = 5  # requests or changes that are measured even after the CPU budget is used up
+MIN_SAMPLES = 5  # minimum of measured requests or changes, even if the CPU budget is used up
 MAX_COST_NS = 10**12  # upper limit of the histogram
 SIGNIFICANT_DIGITS = 3  # resolution of the histogram
 
@@ -46,7 +46,7 @@
 
 
 def warm_up(simulation: Simulation, requests: int, should_stop: Callable[[], bool] = lambda: False) -> int:
-    """Simulate `requests` arrivals, or fewer if `should_stop` returns true; return how many there were."""
+    """Simulate `requests` arrivals, or fewer if `should_stop` returns true; return their number."""
     count_before = simulation.ledger.arrival_count
     simulation.run(lambda: simulation.ledger.arrival_count - count_before >= requests or should_stop())
     return simulation.ledger.arrival_count - count_before
--- a/scale/slopes/passes/counter.py
+++ b/scale/slopes/passes/counter.py
@@ -13,18 +13,18 @@
 from scale.slopes.simulation import Simulation
 from scale.slopes.world import START_TIME_S, World
 
-BACKENDS = 60  # few, since they do not affect the calls and slow down the simulation
+BACKENDS = 60  # few: their number does not affect the counter, but slows down the simulation
 WARM_UP_S = 8.0  # in simulated time
 MEASURED_S = 12.0  # in simulated time
-STEP_S = 0.001  # in simulated time; shorter than a reply of the counter takes
+STEP_S = 0.001  # in simulated time; shorter than the latency of the counter
 
 
 def measure_counter(job: Job) -> Measurement:
     """Measure the calls to the counter and the waits for its replies.
 
-    The measurement is long enough for the token buckets of tenants to run low.
-    All ingresses that serve the tenants are simulated, each with its own decision module: what one of them
-    adds to a count changes the replies that the others get.
+    The measurement is long enough for the token buckets of tenants to run low.  All ingresses that serve the
+    tenants are simulated, each with its own decision module, because what one of them adds to a count changes
+    the replies to the others.
     """
     counter = World(job, BACKENDS).create_counter(job.sizes.spread)
     siblings = [_start_sibling(job, number, counter) for number in range(job.sizes.spread)]
@@ -44,7 +44,7 @@
 def _start_sibling(job: Job, number: int, counter: CounterStandIn) -> Simulation:
     world = World(job, BACKENDS, number)
     simulation = world.create_simulation(CpuMeter(world.create_gateway()), counter)
-    simulation.feed(world.build_full_update(EndpointUpdateKind.RESTORED))
+    simulation.feed(world.build_complete_update(EndpointUpdateKind.RESTORED))
     world.start_requests(simulation)
     return simulation
 
@@ -71,5 +71,5 @@
         "counter_unanswered_share": unanswered / max(1, calls),
         "counter_refused_share": sum(each.rejected_count for each in statistics) / requests,
         "counter_bytes_per_s": sum(each.counter_bytes for each in statistics) / measured_s,
-        "tenants_here": job.sizes.tenants_here,
+        "tenants_here": job.sizes.tenants_per_ingress,
     }
--- a/scale/slopes/passes/memory.py
+++ b/scale/slopes/passes/memory.py
@@ -33,12 +33,12 @@
 
 
 def _measure_list(world: World) -> Measures:
-    body = world.backend_list.encode_full_list()
+    body = world.backend_list.encode_complete_list()
     gateway = world.create_gateway()
     simulation = world.create_simulation(CpuMeter(gateway))
     bytes_before = _measure_traced_bytes()
     tracemalloc.reset_peak()
-    event = world.build_full_update(EndpointUpdateKind.RESTORED)
+    event = world.build_complete_update(EndpointUpdateKind.RESTORED)
     peak_bytes = tracemalloc.get_traced_memory()[1] - bytes_before - len(body)
     simulation.feed(event)
     del event
@@ -55,7 +55,7 @@
     """
     world = World(job, BACKENDS)
     gateway = world.create_gateway()
-    gateway.handle(START_TIME_S, world.build_full_update(EndpointUpdateKind.RESTORED))
+    gateway.handle(START_TIME_S, world.build_complete_update(EndpointUpdateKind.RESTORED))
     bytes_before = _measure_traced_bytes()
     requests = build_request_of_each_tenant(job.sizes, world.settings, world.demand)
     for number, request in enumerate(requests):
@@ -77,7 +77,7 @@
     ):
         open_request_count += len(_select_attempts(gateway.handle(arrival.arrives_at, arrival.request)))
     return {
-        "memory_per_tenant_bytes": (bytes_with_tenants - bytes_before) / job.sizes.tenants_here,
+        "memory_per_tenant_bytes": (bytes_with_tenants - bytes_before) / job.sizes.tenants_per_ingress,
         "memory_per_open_request_bytes": (_measure_traced_bytes() - bytes_with_tenants)
         / max(1, open_request_count),
     }
--- a/scale/slopes/passes/operations.py
+++ b/scale/slopes/passes/operations.py
@@ -16,8 +16,8 @@
 from scale.slopes.simulation import Simulation
 from scale.slopes.world import World
 
-MAX_WARM_UP_CALLS = 150_000_000  # function calls of the warm-up; they limit it at the largest sizes
-MAX_MEASURED_CALLS = 8_000_000  # function calls of the samples; they limit these at the largest sizes
+MAX_WARM_UP_CALLS = 150_000_000  # of the warm-up; shortens the warm-up at the largest sizes
+MAX_MEASURED_CALLS = 8_000_000  # of the sampled requests; lowers their number at the largest sizes
 MEASURED_CHANGES = 8
 
 
@@ -26,7 +26,7 @@
     world = World(job, job.sizes.backends)
     meter = CallMeter(world.create_gateway())
     simulation = world.create_simulation(meter)
-    simulation.feed(world.build_full_update(EndpointUpdateKind.RESTORED))
+    simulation.feed(world.build_complete_update(EndpointUpdateKind.RESTORED))
     world.start_requests(simulation)
     calls_per_request = _estimate_calls_per_request(simulation, meter)
     warm_up_request_count = warm_up(
@@ -55,7 +55,7 @@
 
 
 def _measure_requests(simulation: Simulation, meter: CallMeter, sample_count: int) -> list[int]:
-    """Return the function calls of each served request; the meter is left counting."""
+    """Return the function calls of each served request; `meter.is_counting` stays set for the changes."""
     statistics = simulation.ledger.statistics
     meter.is_counting = True
     simulation.ledger.is_measuring = True
--- a/scale/slopes/passes/times.py
+++ b/scale/slopes/passes/times.py
@@ -39,24 +39,24 @@
     gateway = world.create_gateway()
     meter = CpuMeter(gateway)
     simulation = world.create_simulation(meter)
-    measures |= _measure_full_list(world, simulation, meter)
+    measures |= _measure_complete_list(world, simulation, meter)
     measures |= _measure_requests(world, simulation)
     measures["resident_mb"] = (psutil.Process().memory_info().rss - rss_before) / MEBIBYTE
     measures |= _measure_changes(world, simulation)
-    simulation.feed(world.build_full_update(EndpointUpdateKind.REPLACE))
+    simulation.feed(world.build_complete_update(EndpointUpdateKind.REPLACE))
     measures["list_reapply_cpu_ms"] = meter.last_cost / NANOSECONDS_PER_MS
     measures["control_cpu_share"] += (
         job.sizes.changes_per_s * (measures["change_cpu_us"] + measures["change_read_cpu_us"]) / 1e6
     )
-    measures["tenants_here"] = job.sizes.tenants_here
+    measures["tenants_here"] = job.sizes.tenants_per_ingress
     return Measurement(measures=measures)
 
 
-def _measure_full_list(world: World, simulation: Simulation, meter: CpuMeter) -> Measures:
+def _measure_complete_list(world: World, simulation: Simulation, meter: CpuMeter) -> Measures:
     """Decode the complete list, and hand it to a gateway without a list."""
-    body = world.backend_list.encode_full_list()
+    body = world.backend_list.encode_complete_list()
     decode_ms = measure_cpu_ms(lambda: world.decode(body))
-    simulation.feed(world.build_full_update(EndpointUpdateKind.RESTORED))
+    simulation.feed(world.build_complete_update(EndpointUpdateKind.RESTORED))
     return {
         "list_bytes": len(body),
         "list_read_cpu_ms": decode_ms,
@@ -65,7 +65,7 @@
 
 
 def _measure_requests(world: World, simulation: Simulation) -> Measures:
-    """Measure requests while changes arrive too, both at the rates of the job, within the CPU budget."""
+    """Measure requests while the endpoint list changes, both at the rates of the job."""
     job = world.job
     world.start_requests(simulation)
     simulation.start_changes(world.build_next_change, job.sizes.changes_per_s)
@@ -91,7 +91,7 @@
         "warm_up_requests": warm_up_request_count,
         "samples": len(request_costs),
         "simulated_s": measured_s,
-        "control_cpu_share": control_cost_ns / 1e9 / measured_s,  # the share of changes is added later
+        "control_cpu_share": control_cost_ns / 1e9 / measured_s,  # the caller adds the share of changes
     }
 
 
--- a/scale/slopes/runner.py
+++ b/scale/slopes/runner.py
@@ -28,13 +28,13 @@
 
 @dataclass
 class SweepRunner:
-    """Measures the points of sweeps with the version in `project`; equal points are measured once."""
+    """Measures the points of sweeps with the version in `project`; a pass runs only once for equal sizes."""
 
     project: Path
     cpu_budget_s: float
     counter: CounterModel = field(default_factory=CounterModel)
     note: str = ""
-    _measured: dict[tuple[Pass, Sizes], dict[str, float]] = field(default_factory=dict)
+    _measures_by_pass: dict[tuple[Pass, Sizes], dict[str, float]] = field(default_factory=dict)
 
     def run(self, sweep: Sweep, on_pass_done: Callable[[], None]) -> Result:
         """Measure all points of a sweep, and return the result; `on_pass_done` is called after each pass."""
@@ -58,9 +58,9 @@
         measures: dict[str, float] = {}
         for pass_ in sweep.passes:
             key = pass_, sizes
-            if key not in self._measured:
-                self._measured[key] = self._run_pass(pass_, sizes)
-            measures |= self._measured[key]
+            if key not in self._measures_by_pass:
+                self._measures_by_pass[key] = self._run_pass(pass_, sizes)
+            measures |= self._measures_by_pass[key]
             on_pass_done()
         return Point(sizes=sizes.model_dump(), measures=measures | _derive_measures(measures, sizes))
 
@@ -84,7 +84,7 @@
 def run_job(job: Job, project: Path) -> Measurement:
     """Run one pass in a child process, and return its measurement.
 
-    MeasuringChildError is raised if it fails; it holds the last line that the child wrote to standard error.
+    If the child fails, raise MeasuringChildError with the last line that it wrote to standard error.
     """
     command = [sys.executable, "-P", "-m", "scale.slopes.measure"]
     timeout_s = max(MIN_TIMEOUT_S, TIMEOUT_BUDGETS * job.cpu_budget_s)
--- a/scale/slopes/simulation.py
+++ b/scale/slopes/simulation.py
@@ -1,4 +1,4 @@
-"""Simulates the surroundings of one decision module on a simulated clock."""
+"""Simulates the clients, the backends and the counter of one decision module on a simulated clock."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from scale.slopes.meters import Meter
 from scale.slopes.traffic import Arrival
 
-BACKEND_LATENCY_S = 0.1  # time from an attempt to the answer of its backend
-MAX_DRAIN_S = 10.0  # simulated time after which draining ends with requests still open
+BACKEND_LATENCY_S = 0.1  # time from an attempt to the reply of its backend
+MAX_DRAIN_S = 10.0  # simulated time after which `drain` ends, even if requests are still open
 BuildChange: TypeAlias = Callable[[float], EndpointUpdate]  # takes the simulated time (s)
 ScheduledItem: TypeAlias = Event | Arrival | BuildChange
 
@@ -65,7 +65,7 @@
         self.now = max(self.now, end)
 
     def drain(self) -> None:
-        """Stop the arrivals, and handle events until each request has its final answer."""
+        """Stop the arrivals, and handle events until no request is open or MAX_DRAIN_S have passed."""
         self._arrivals = None
         ends_at = self.now + MAX_DRAIN_S
         self.run(lambda: not self.ledger.open_requests or self.now > ends_at)
--- a/scale/slopes/sweeps.py
+++ b/scale/slopes/sweeps.py
@@ -6,7 +6,7 @@
 
 from scale.slopes.job import SPREAD, Pass, Sizes
 
-FULL_FLEET = 3_400  # ingresses of the largest fleet
+FULL_FLEET_INGRESSES = 3_400
 TENANTS_PER_INGRESS = 500
 SHORT_SWEEP_POINTS = 3
 CPU_PASSES = (Pass.TIMES, Pass.OPERATIONS)
@@ -15,7 +15,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """The sizes at which some passes are run; the name says what changes from one to the next."""
+    """The passes of a sweep and the sizes at which they run; the name says which size varies."""
 
     name: str
     passes: tuple[Pass, ...]
@@ -44,12 +44,12 @@
     return Sweep(
         "backends",
         CPU_AND_MEMORY_PASSES,
-        tuple(build_sizes(backends=count, ingresses=FULL_FLEET) for count in counts),
+        tuple(build_sizes(backends=count, ingresses=FULL_FLEET_INGRESSES) for count in counts),
     )
 
 
 def _build_ingresses_sweep(name: str, backends: int, passes: tuple[Pass, ...]) -> Sweep:
-    counts = (34, 100, 340, 1_000, FULL_FLEET)
+    counts = (34, 100, 340, 1_000, FULL_FLEET_INGRESSES)
     return Sweep(name, passes, tuple(build_sizes(ingresses=count, backends=backends) for count in counts))
 
 
@@ -58,7 +58,7 @@
     return Sweep(
         "tenants",
         (*CPU_AND_MEMORY_PASSES, Pass.COUNTER),
-        tuple(build_sizes(tenants=count, ingresses=FULL_FLEET) for count in counts),
+        tuple(build_sizes(tenants=count, ingresses=FULL_FLEET_INGRESSES) for count in counts),
     )
 
 
@@ -77,10 +77,10 @@
     fleet_sizes = (
         (200, 40),
         (200, 200),
-        (200, FULL_FLEET),
-        (2_000, FULL_FLEET),
-        (20_000, FULL_FLEET),
-        (200_000, FULL_FLEET),
+        (200, FULL_FLEET_INGRESSES),
+        (2_000, FULL_FLEET_INGRESSES),
+        (20_000, FULL_FLEET_INGRESSES),
+        (200_000, FULL_FLEET_INGRESSES),
     )
     return Sweep(
         "acceptance",
--- a/scale/slopes/tenants.py
+++ b/scale/slopes/tenants.py
@@ -13,12 +13,12 @@
 BURST_S = 10.0  # a plan's burst is its rate times this duration
 UNIT_CHOICES = (1, 1, 1, 2, 4)  # units of a request, drawn with equal probability
 MEAN_REQUEST_UNITS = sum(UNIT_CHOICES) / len(UNIT_CHOICES)
-# The share of its quota that a tenant requests is drawn evenly between these limits.
+# The share of its quota that a tenant requests is drawn uniformly between these limits.
 MIN_QUOTA_SHARE = 0.1
 MAX_QUOTA_SHARE = 0.9
 OVER_QUOTA_PERIOD = 25  # every 25th tenant requests more than its quota
-OVER_QUOTA_OFFSET = 12  # number of the first such tenant
-OVER_QUOTA_SHARE = 2.0  # share of its quota that such a tenant requests
+OVER_QUOTA_OFFSET = 12  # number of the first tenant that requests more than its quota
+OVER_QUOTA_SHARE = 2.0  # share of its quota that such a tenant requests: twice the quota
 
 
 @dataclass(frozen=True, slots=True)
@@ -61,7 +61,7 @@
     The rates of the plans are such that the demands of the tenants add up to the requests at their ingresses.
     """
     rng = random.Random(seed)
-    tenant_count = sizes.tenants_here
+    tenant_count = sizes.tenants_per_ingress
     weights = [
         _draw_quota_share(number, rng) * PLAN_RATE_FACTORS[number % len(PLAN_RATE_FACTORS)]
         for number in range(tenant_count)
--- a/scale/slopes/world.py
+++ b/scale/slopes/world.py
@@ -17,7 +17,7 @@
 
 
 class World:
-    """The surroundings of one gateway, created from the sizes and the seed of a job.
+    """The settings, tenants and backends of one gateway, created from the sizes and the seed of a job.
 
     Siblings are the gateways that serve the same tenants; each has its own requests.
     """
@@ -48,10 +48,10 @@
             generate_arrivals(self.job.sizes, self.settings, self.demand, simulation.now, self.seed)
         )
 
-    def build_full_update(self, kind: EndpointUpdateKind) -> EndpointUpdate:
+    def build_complete_update(self, kind: EndpointUpdateKind) -> EndpointUpdate:
         """Return the event that delivers the complete list as it is now."""
         return EndpointUpdate(
-            kind, self.decode(self.backend_list.encode_full_list()), self.backend_list.version
+            kind, self.decode(self.backend_list.encode_complete_list()), self.backend_list.version
         )
 
     def build_next_change(self, now: float) -> EndpointUpdate:
--- a/scale/standins/agent.py
+++ b/scale/standins/agent.py
@@ -29,11 +29,11 @@
 
 @dataclass(slots=True)
 class AgentCounts:
-    """What one listener of the agent has counted."""
+    """The calls to one listener of the agent, and the bytes that it received and sent."""
 
     calls: int = 0
-    whole_lists: int = 0
-    """Answers that held the complete list of backends."""
+    complete_lists: int = 0
+    """Responses that contained the complete list of backends."""
     refused: int = 0
     """Calls that were answered with status 503."""
     bytes_in: int = 0
@@ -56,9 +56,9 @@
         self.group = group
         self.transport: asyncio.Transport | None = None
         self.buffer = b""
-        # The list version that the ingress of the pending call holds; None: it asked for the complete list.
+        # The version of the list that the caller of the pending call has, or None if it has no list yet.
         self.held_version: int | None = None
-        self.is_call_pending = False  # a call has not been answered yet
+        self.is_call_pending = False  # the last call has not been answered yet
         self.wait_timer: asyncio.TimerHandle | None = None  # answers a long poll at the end of its wait
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -81,8 +81,8 @@
 
     def _handle_buffered_calls(self) -> None:
         while not self.is_call_pending and self.transport is not None:
-            head, found, rest = self.buffer.partition(b"\r\n\r\n")
-            if not found:
+            head, separator, rest = self.buffer.partition(b"\r\n\r\n")
+            if not separator:
                 if len(head) > MAX_HEAD_BYTES:
                     self.transport.close()
                 return
@@ -92,11 +92,11 @@
     def _handle_call(self, head: bytes) -> None:
         try:
             method, target, _ = head.split(b"\r\n", 1)[0].decode("ascii").split(" ")
-            parts = urlsplit(target)
-            query = {key: int(values[0]) for key, values in parse_qs(parts.query).items()}
+            url = urlsplit(target)
+            query = {key: int(values[0]) for key, values in parse_qs(url.query).items()}
         except ValueError:
-            method, query, parts = "", {}, urlsplit("")
-        if method != "GET" or parts.path != "/api/targets":
+            method, query, url = "", {}, urlsplit("")
+        if method != "GET" or url.path != "/api/targets":
             self._write(_encode_response(b"400 Bad Request", b""))
             if self.transport is not None:
                 self.transport.close()
@@ -106,7 +106,7 @@
         )
 
     def _answer_or_hold(self, held_version: int | None, wait_s: float) -> None:
-        """Answer a valid call at once, or hold it until the list changes or its wait ends."""
+        """Answer a valid call immediately, or hold it until the list changes or its wait ends."""
         counts = self.agent.counts[self.group]
         counts.calls += 1
         if held_version is not None:
@@ -130,9 +130,9 @@
             return
         held_version = self.held_version
         self._clear_pending_call()
-        body = self.agent.registry.encode_answer(held_version)
+        body = self.agent.registry.encode_response_body(held_version)
         if held_version is None or b'"full":true' in body[:64]:
-            self.agent.counts[self.group].whole_lists += 1
+            self.agent.counts[self.group].complete_lists += 1
         self._write(_encode_response(b"200 OK", body))
         if self.buffer:
             self.agent.loop.call_soon(self._handle_buffered_calls)
@@ -161,7 +161,8 @@
         self.loop = asyncio.get_running_loop()
         self.connections: set[AgentConnection] = set()
         self.counts: dict[str, AgentCounts] = {}  # by group
-        # By group: the versions that its ingresses have applied, and when a call showed so (monotonic clock).
+        # By group: each version that an ingress has acted on, and when its next call showed that (monotonic
+        # clock).
         self.acted_versions: dict[str, list[tuple[int, float]]] = {}
         self.published_changes: list[PublishedChange] = []
         self._servers: dict[str, asyncio.Server] = {}  # by group
@@ -186,34 +187,35 @@
         return await self.listen(group)
 
     def count_up_to_date_watches(self) -> int:
-        """Return how many long polls wait for a change after the newest version."""
+        """Return the number of pending long polls whose callers have the newest version."""
         return sum(
-            each.is_call_pending and each.held_version == self.registry.version for each in self.connections
+            connection.is_call_pending and connection.held_version == self.registry.version
+            for connection in self.connections
         )
 
     def record_acted_version(self, group: str, version: int) -> None:
-        """Record that an ingress has applied a version: its long poll asks for the changes after that one."""
+        """Record that an ingress has acted on a version, as it asks for the changes after that version."""
         acted_versions = self.acted_versions[group]
         if not acted_versions or acted_versions[-1][0] != version:
             acted_versions.append((version, time.monotonic()))
 
     def publish(self, *entries: Entry) -> PublishedChange:
-        """Publish a change of some entries and answer the long polls that wait for it."""
+        """Publish a change of some entries, and answer the long polls with it."""
         change = self.registry.publish(entries)
         self.published_changes.append(change)
         self._answer_due_calls()
         return change
 
     def set_mode(self, mode: AgentMode) -> None:
-        """Set how calls are answered; a return to UP answers the calls that were held while silent."""
+        """Set how calls are answered; the mode UP answers the calls that were accepted while SILENT."""
         self.mode = mode
         if mode is AgentMode.UP:
             self._answer_due_calls()
 
     def _answer_due_calls(self) -> None:
-        """Answer the pending calls that are out of date and those that were held while the agent was silent.
+        """Answer the calls whose version is not the newest, and those accepted while the agent was silent.
 
-        A call that was held while the agent was silent has no timer.
+        Calls of the second kind are recognised by their missing timer.
         """
         for connection in list(self.connections):
             if connection.is_call_pending and (
--- a/scale/standins/arrivals.py
+++ b/scale/standins/arrivals.py
@@ -34,7 +34,7 @@
         return self._timer is not None
 
     def start(self) -> None:
-        """Let requests arrive from now on; at a rate of 0 none ever does."""
+        """Let requests arrive from now on.  At a rate of 0 no request arrives."""
         if self._requests_per_s > 0:
             self._schedule_next(self._loop.time())
 
@@ -44,9 +44,9 @@
             self._timer.cancel()
             self._timer = None
 
-    def _schedule_next(self, last_arrival: float) -> None:
-        next_arrival = last_arrival + self._rng.expovariate(self._requests_per_s)
-        self._timer = self._loop.call_at(next_arrival, self._handle_arrival, next_arrival)
+    def _schedule_next(self, last_arrival_at: float) -> None:
+        next_arrival_at = last_arrival_at + self._rng.expovariate(self._requests_per_s)
+        self._timer = self._loop.call_at(next_arrival_at, self._handle_arrival, next_arrival_at)
 
     def _handle_arrival(self, scheduled_at: float) -> None:
         self._schedule_next(scheduled_at)
--- a/scale/standins/backend_queue.py
+++ b/scale/standins/backend_queue.py
@@ -1,4 +1,4 @@
-"""The queue of one backend: its capacity, its latency, and the load that it gets during a cold start."""
+"""The queue of one backend: its capacity, its latency, and the load that it receives during a cold start."""
 
 from __future__ import annotations
 
@@ -16,12 +16,13 @@
     return int(unix_time / COLD_WINDOW_S)
 
 
-def calculate_capacity(model: BackendModel, age: float) -> float:
-    """Return the units per second that a backend can serve `age` seconds after its start.
+def calculate_capacity(model: BackendModel, age_s: float) -> float:
+    """Return the units per second that a backend can serve `age_s` seconds after its start.
 
-    The capacity grows linearly from the cold share to the whole over the duration of the cold start.
+    During the cold start of `model.cold_s` seconds, the capacity grows linearly from the share
+    `model.cold_share` of the full capacity to all of it.
     """
-    share = model.cold_share + (1 - model.cold_share) * min(max(age / model.cold_s, 0.0), 1.0)
+    share = model.cold_share + (1 - model.cold_share) * min(max(age_s / model.cold_s, 0.0), 1.0)
     return model.capacity * share
 
 
@@ -30,13 +31,13 @@
 
     def __init__(self, model: BackendModel, rng: random.Random) -> None:
         self.started_at = 0.0  # Unix time of the last cold start; 0 if there was none
-        self.cold_units: dict[int, float] = {}  # units received since the last cold start, by window
+        self.cold_units: dict[int, float] = {}  # units received during the last cold start, by window
         self._model = model
         self._rng = rng
-        self._free_at = 0.0  # when all accepted requests are served, on the monotonic clock
+        self._free_at = 0.0  # monotonic time at which the last accepted request will have left the queue
 
     def start_cold(self, started_at: float) -> None:
-        """Begin a cold start at a Unix time: the capacity grows from the cold share to the whole."""
+        """Begin a cold start at a Unix time, and forget the load of the one before."""
         self.started_at = started_at
         self.cold_units = {}
 
@@ -45,7 +46,7 @@
         return calculate_capacity(self._model, unix_time - self.started_at)
 
     def accept_request(self, units: float) -> float | None:
-        """Queue a request; return the seconds until its answer, or None if the queue is full."""
+        """Queue a request; return the seconds until its reply, or None if the queue is full."""
         now = time.monotonic()
         unix_time = time.time()
         self._count_cold_units(units, unix_time)
@@ -54,8 +55,8 @@
             return None
         self._free_at = begins_at + units / self.calculate_capacity(unix_time)
         log_median = math.log(self._model.latency_ms / 1000)
-        latency = self._rng.lognormvariate(log_median, self._model.latency_sigma)
-        return begins_at - now + latency
+        latency_s = self._rng.lognormvariate(log_median, self._model.latency_sigma)
+        return begins_at - now + latency_s
 
     def _count_cold_units(self, units: float, unix_time: float) -> None:
         if self.started_at and unix_time < self.started_at + self._model.cold_s:
--- a/scale/standins/backends.py
+++ b/scale/standins/backends.py
@@ -23,7 +23,7 @@
 
 @dataclass(slots=True)
 class BackendCounts:
-    """What one backend has counted."""
+    """The commands and connections of one backend."""
 
     commands: int = 0
     served: int = 0
@@ -32,7 +32,7 @@
     errors: int = 0
     """Malformed commands."""
     connections: int = 0
-    """Accepted connections, open or not."""
+    """Connections accepted so far."""
 
 
 class BackendServer:
@@ -42,7 +42,7 @@
         self.idle_timeout_s = model.keepalive_s
         self.queue = BackendQueue(model, rng)
         self.loop = asyncio.get_running_loop()
-        self.is_silent = False  # received data is ignored and nothing is answered
+        self.is_silent = False  # whether received data is ignored and nothing is sent
         self.requests_in_flight = 0
         self.counts = BackendCounts()
         self.connections: set[BackendConnection] = set()
@@ -61,7 +61,8 @@
     def set_silent(self, is_silent: bool) -> None:
         """Set whether the backend is silent.
 
-        While it is, connections stay open and nothing is answered; at its end the connections are reset.
+        A silent backend keeps its connections open, but ignores what it receives and sends nothing.  When the
+        silence ends, its connections are reset.
         """
         self.is_silent = is_silent
         if not is_silent:
@@ -76,8 +77,8 @@
             connection.abort()
 
 
-def parse_answer_value(value: bytes) -> tuple[bytes, float]:
-    """Split the value of an answer into the id of the request and the backend's service time (s)."""
+def parse_reply_value(value: bytes) -> tuple[bytes, float]:
+    """Split the value of a reply into the id of the request and the backend's service time (s)."""
     request_id, _, microseconds = value.partition(b":")
     return request_id, int(microseconds) / 1e6
 
@@ -87,15 +88,16 @@
 
 
 class BackendConnection(asyncio.Protocol):
-    """One connection of an ingress; answers keep the order of the commands."""
+    """One connection of an ingress; replies keep the order of the commands."""
 
     def __init__(self, backend: BackendServer) -> None:
         self.backend = backend
         self.transport: asyncio.Transport | None = None
         self.reader = hiredis.Reader()
         self.incomplete_bytes = 0  # received bytes of a command that is not complete yet
-        # One list for each command, in their order: it is empty until it gets its one element, the answer.
-        self.answers: deque[list[bytes]] = deque()
+        # The replies in the order of the commands.  Each is a list that is empty until the command is done,
+        # and then contains the encoded reply.
+        self.replies: deque[list[bytes]] = deque()
         self.idle_timer: asyncio.TimerHandle | None = None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -118,7 +120,7 @@
         self.idle_timer = self.backend.loop.call_later(self.backend.idle_timeout_s, self._close_if_idle)
 
     def _close_if_idle(self) -> None:
-        if self.answers:
+        if self.replies:
             self._restart_idle_timer()
         elif self.transport is not None:
             self.transport.close()
@@ -151,22 +153,26 @@
             self.transport.close()
 
     def _handle_command(self, command: object) -> None:
-        if not isinstance(command, list) or not command or not all(isinstance(w, bytes) for w in command):
+        if (
+            not isinstance(command, list)
+            or not command
+            or not all(isinstance(word, bytes) for word in command)
+        ):
             self._reject_malformed()
             return
-        answer: list[bytes] = []
-        self.answers.append(answer)
+        reply: list[bytes] = []
+        self.replies.append(reply)
         verb = command[0].upper()
         if verb in (b"API.READ", b"API.WRITE"):
-            self._handle_request(answer, command)
+            self._handle_request(reply, command)
         elif verb == b"PING":
-            self._complete_answer(answer, b"+PONG\r\n")
+            self._complete_reply(reply, b"+PONG\r\n")
         elif verb in (b"CLIENT", b"SELECT"):
-            self._complete_answer(answer, b"+OK\r\n")
+            self._complete_reply(reply, b"+OK\r\n")
         else:
-            self._complete_answer(answer, b"-ERR unknown command\r\n")
+            self._complete_reply(reply, b"-ERR unknown command\r\n")
 
-    def _handle_request(self, answer: list[bytes], arguments: list[bytes]) -> None:
+    def _handle_request(self, reply: list[bytes], arguments: list[bytes]) -> None:
         try:
             fields = dict(pair.split(b"=", 1) for pair in arguments[3].split(b","))
             units = float(fields.get(b"units", b"1"))
@@ -175,15 +181,15 @@
             return
         backend = self.backend
         backend.counts.commands += 1
-        delay = backend.queue.accept_request(units)
-        if delay is None:
+        delay_s = backend.queue.accept_request(units)
+        if delay_s is None:
             backend.counts.busy += 1
-            self._complete_answer(answer, b"-BUSY\r\n")
+            self._complete_reply(reply, b"-BUSY\r\n")
             return
         backend.requests_in_flight += 1
-        backend.loop.call_later(delay, self._finish_request, answer, arguments[2], time.monotonic())
+        backend.loop.call_later(delay_s, self._finish_request, reply, arguments[2], time.monotonic())
 
-    def _finish_request(self, answer: list[bytes], request_id: bytes, arrived_at: float) -> None:
+    def _finish_request(self, reply: list[bytes], request_id: bytes, arrived_at: float) -> None:
         backend = self.backend
         backend.requests_in_flight -= 1
         if backend.is_silent or self.transport is None:
@@ -191,15 +197,15 @@
         backend.counts.served += 1
         service_time_us = max(0, round((time.monotonic() - arrived_at) * 1e6))
         value = _encode_bulk_string(b"%b:%d" % (request_id, service_time_us))
-        self._complete_answer(
-            answer,
+        self._complete_reply(
+            reply,
             b"*3\r\n%b$-1\r\n%b" % (value, _encode_bulk_string(b"active=%d" % backend.requests_in_flight)),
         )
 
-    def _complete_answer(self, answer: list[bytes], data: bytes) -> None:
-        """Fill in an answer, and send all answers that no earlier incomplete one holds back."""
-        answer.append(data)
-        while self.answers and self.answers[0]:
-            ready = self.answers.popleft()
+    def _complete_reply(self, reply: list[bytes], data: bytes) -> None:
+        """Set the data of a reply, and send all complete replies that precede the first incomplete one."""
+        reply.append(data)
+        while self.replies and self.replies[0]:
+            ready_reply = self.replies.popleft()
             if self.transport is not None:
-                self.transport.write(ready[0])
+                self.transport.write(ready_reply[0])
--- a/scale/standins/client_connection.py
+++ b/scale/standins/client_connection.py
@@ -20,10 +20,10 @@
         """Handle an answer that came while no request was in flight."""
 
     def on_malformed_answer(self) -> None:
-        """Handle data that is not RESP2; the connection is aborted afterwards."""
+        """Handle data that is not RESP2; the caller then aborts the connection."""
 
     def on_connection_lost(self, connection: ClientConnection) -> None:
-        """Handle the end of a connection; if it holds a request, that has no answer."""
+        """Handle the end of a connection; a request still in flight on it gets no answer there."""
 
 
 class ClientConnection(asyncio.Protocol):
@@ -31,7 +31,7 @@
 
     def __init__(self, owner: ConnectionOwner) -> None:
         self.request: PendingRequest | None = None  # the request in flight
-        self.is_used = False  # an answer came on it
+        self.is_used = False  # whether an answer was received on the connection
         self._owner = owner
         self._transport: asyncio.Transport | None = None
         self._reader = hiredis.Reader()
@@ -43,7 +43,7 @@
 
     @property
     def is_lost(self) -> bool:
-        """Whether the connection has ended and its owner was told so."""
+        """Whether the connection has ended."""
         return self._transport is None
 
     def connection_made(self, transport: asyncio.BaseTransport) -> None:
@@ -57,7 +57,7 @@
         self._transport.write(request.command)
 
     def data_received(self, data: bytes) -> None:
-        """Report the answers that are complete; data that is not RESP2 aborts the connection."""
+        """Report complete answers to the owner; abort the connection if the data is not RESP2."""
         self._reader.feed(data)
         try:
             while (answer := self._reader.gets()) is not False:
--- a/scale/standins/client_requests.py
+++ b/scale/standins/client_requests.py
@@ -7,7 +7,7 @@
 
 import hiredis
 
-from scale.standins.backends import parse_answer_value
+from scale.standins.backends import parse_reply_value
 from scale.standins.histograms import TimeHistogram
 from scale.standins.traffic import DrawnRequest
 
@@ -21,7 +21,7 @@
     sent_at: float
     deadline: float
     is_resent: bool = False
-    """Whether it was sent a second time, after its connection was closed."""
+    """Whether it was sent a second time because its first connection was closed."""
     is_finished: bool = False
     """Whether its outcome has been counted."""
     timer: asyncio.TimerHandle | None = None
@@ -30,7 +30,7 @@
 
 @dataclass(slots=True)
 class ClientCounts:
-    """How many requests had which outcome."""
+    """The numbers of requests by outcome."""
 
     requests: int = 0
     served: int = 0
@@ -51,8 +51,8 @@
 
     def add(self, other: ClientCounts) -> None:
         """Add the counts of other clients."""
-        for item in fields(self):
-            setattr(self, item.name, getattr(self, item.name) + getattr(other, item.name))
+        for count in fields(self):
+            setattr(self, count.name, getattr(self, count.name) + getattr(other, count.name))
 
 
 @dataclass(slots=True)
@@ -83,7 +83,7 @@
 
     def _record_value(self, request: PendingRequest, answer: object, latency: float) -> None:
         try:
-            request_id, service_time = parse_answer_value(answer if isinstance(answer, bytes) else b"")
+            request_id, service_time = parse_reply_value(answer if isinstance(answer, bytes) else b"")
         except ValueError:
             request_id, service_time = b"", 0.0
         if request_id != request.id:
--- a/scale/standins/clients.py
+++ b/scale/standins/clients.py
@@ -22,7 +22,8 @@
 
     def __init__(self, scenario: Scenario, ingress: int, address: Address, seed: int) -> None:
         self.measures = ClientMeasures()
-        # The process of the ingress was killed: requests without an answer count as cut, not as lost.
+        # Whether the ingress restarts after its process was killed.  Requests that lose their connection
+        # meanwhile count as cut, not as lost.
         self.is_restarting = False
         self._ingress = ingress
         self._address = address
@@ -55,12 +56,12 @@
         elif not self._arrivals.is_running:
             self._arrivals.start()
 
-    async def finish(self, limit_s: float) -> None:
-        """Stop, wait for the answers to the open requests, and count those that do not come as lost."""
+    async def finish(self, timeout_s: float) -> None:
+        """Stop, wait for the answers to the open requests, and count the unanswered requests as lost."""
         self.stop()
         if self._open_requests:
             with contextlib.suppress(TimeoutError):
-                await asyncio.wait_for(self._drained.wait(), limit_s)
+                await asyncio.wait_for(self._drained.wait(), timeout_s)
         for request in list(self._open_requests.values()):
             self._count_as_lost(request)
         for connection in self._idle_connections:
@@ -119,7 +120,7 @@
         self._finish_request(request)
 
     def on_answer(self, connection: ClientConnection, request: PendingRequest, answer: object) -> None:
-        """Record the answer, unless the request has ended before, and reuse the connection."""
+        """Record the answer, unless the request already has an outcome, and keep the connection for reuse."""
         if not request.is_finished:
             self.measures.record_answer(request, answer, time.monotonic())
             self._finish_request(request)
@@ -127,7 +128,7 @@
             self._idle_connections.append(connection)
 
     def on_unrequested_answer(self) -> None:
-        """Count an answer that came after the first one to a request."""
+        """Count an answer that belongs to no request in flight as a duplicate."""
         self.measures.counts.duplicated += 1
 
     def on_malformed_answer(self) -> None:
@@ -135,10 +136,10 @@
         self.measures.counts.wrong += 1
 
     def on_connection_lost(self, connection: ClientConnection) -> None:
-        """Retry or finish the request that was in flight on the connection.
+        """Send the request that was in flight on the connection again, or finish it.
 
-        It is sent once more if the connection was reused: the ingress may have closed it as idle while the
-        request was on its way.
+        A request on a reused connection is sent a second time, because the ingress may have closed the
+        connection as idle before it received the request.
         """
         if connection in self._idle_connections:
             self._idle_connections.remove(connection)
--- a/scale/standins/counter.py
+++ b/scale/standins/counter.py
@@ -13,15 +13,15 @@
 from scale.standins.counter_parts import CounterPart
 
 IDLE_TIMEOUT_S = 10.0  # after which an idle connection is closed
-MIN_IDLE_CHECK_S = 0.1  # delay before a connection with unsent answers is checked for idleness again
+MIN_IDLE_CHECK_S = 0.1  # shortest delay between two checks whether a connection is idle
 MAX_LINE_BYTES = 256
 EXPIRY_PERIOD_S = 5.0  # interval between two removals of expired names
-MAX_CONNECTIONS_PER_INGRESS = 32  # connections beyond this number are reset
+MAX_CONNECTIONS_PER_INGRESS = 32  # mean over all ingresses; connections beyond it are reset
 
 
 @dataclass(slots=True)
 class CounterCounts:
-    """What the counter has counted."""
+    """The calls to the counter, and the bytes that it received and sent."""
 
     calls: int = 0
     answered: int = 0
@@ -34,21 +34,21 @@
 
 
 @dataclass(slots=True)
-class PendingAnswer:
-    """One answer's place in the order in which a connection sends its answers."""
+class PendingReply:
+    """The reply to one call, which is sent after the replies to all earlier calls of its connection."""
 
     text: bytes | None = None
-    """The answer without its line end; None until the call is done."""
+    """The reply without its line end, or None until the call is done."""
 
 
 class CounterConnection(asyncio.Protocol):
-    """One connection of an ingress; answers keep the order of the calls."""
+    """One connection of an ingress; replies keep the order of the calls."""
 
     def __init__(self, counter: CounterServer) -> None:
         self.counter = counter
         self.transport: asyncio.Transport | None = None
         self.buffer = b""
-        self.pending_answers: deque[PendingAnswer] = deque()
+        self.pending_replies: deque[PendingReply] = deque()
         self.last_received_at = counter.loop.time()
         self.idle_timer: asyncio.TimerHandle | None = None
 
@@ -70,7 +70,7 @@
 
     def _close_if_idle(self) -> None:
         remaining_s = self.last_received_at + IDLE_TIMEOUT_S - self.counter.loop.time()
-        if remaining_s > 0 or self.pending_answers:
+        if remaining_s > 0 or self.pending_replies:
             self.idle_timer = self.counter.loop.call_later(
                 max(remaining_s, MIN_IDLE_CHECK_S), self._close_if_idle
             )
@@ -88,26 +88,26 @@
             self.transport.abort()
 
     def _handle_line(self, line: bytes) -> None:
-        answer = PendingAnswer()
-        self.pending_answers.append(answer)
+        reply = PendingReply()
+        self.pending_replies.append(reply)
         if line == b"ping":
-            self.complete_answer(answer, b"pong")
+            self.complete_reply(reply, b"pong")
             return
         try:
             call = parse_add(line)
         except CounterCallError:
             self.counter.counts.errors += 1
-            self.complete_answer(answer, b"error")
+            self.complete_reply(reply, b"error")
             return
-        self.counter.queue_call(self, answer, call)
+        self.counter.queue_call(self, reply, call)
 
-    def complete_answer(self, answer: PendingAnswer, text: bytes) -> None:
-        """Fill in an answer, and send all answers that no earlier incomplete one holds back."""
-        answer.text = text
+    def complete_reply(self, reply: PendingReply, text: bytes) -> None:
+        """Set the text of a reply, and send all complete replies that precede the first incomplete one."""
+        reply.text = text
         ready_lines = []
-        while self.pending_answers and (first := self.pending_answers[0].text) is not None:
-            ready_lines.append(first + b"\r\n")
-            self.pending_answers.popleft()
+        while self.pending_replies and (first_text := self.pending_replies[0].text) is not None:
+            ready_lines.append(first_text + b"\r\n")
+            self.pending_replies.popleft()
         if ready_lines and self.transport is not None:
             data = b"".join(ready_lines)
             self.counter.counts.bytes_out += len(data)
@@ -117,8 +117,8 @@
 class CounterServer:
     """The counter of a fleet.
 
-    The limit on connections is that of one ingress times their number: all ingresses share one loopback
-    address, so that their connections cannot be told apart.
+    The number of connections is limited for all ingresses together, not for each one: they share one loopback
+    address, so the counter cannot tell which ingress a connection belongs to.
     """
 
     def __init__(self, parts: int, calls_per_s: float, max_queued_calls: int, ingresses: int = 1) -> None:
@@ -139,23 +139,23 @@
         address: Address = self._server.sockets[0].getsockname()[:2]
         return address
 
-    def queue_call(self, connection: CounterConnection, answer: PendingAnswer, call: AddCall) -> None:
-        """Queue an `add` call at the part of its name, or answer `busy` if the queue is full."""
+    def queue_call(self, connection: CounterConnection, reply: PendingReply, call: AddCall) -> None:
+        """Queue an `add` call at the part of its name, or reply `busy` if its queue is full."""
         part = self.parts[crc32(call.name) % len(self.parts)]
         self.counts.calls += 1
-        done_at = part.reserve_turn(self.loop.time())
+        done_at = part.queue_call(self.loop.time())
         if done_at is None:
             self.counts.busy += 1
-            connection.complete_answer(answer, b"busy")
+            connection.complete_reply(reply, b"busy")
         else:
-            self.loop.call_at(done_at, self._execute_call, part, connection, answer, call)
+            self.loop.call_at(done_at, self._execute_call, part, connection, reply, call)
 
     def _execute_call(
-        self, part: CounterPart, connection: CounterConnection, answer: PendingAnswer, call: AddCall
+        self, part: CounterPart, connection: CounterConnection, reply: PendingReply, call: AddCall
     ) -> None:
         total = part.add(call.name, call.amount, call.lifetime_s, self.loop.time())
         self.counts.answered += 1
-        connection.complete_answer(answer, b"ok %.7g" % total)
+        connection.complete_reply(reply, b"ok %.7g" % total)
 
     def _remove_expired_names(self) -> None:
         for part in self.parts:
--- a/scale/standins/counter_calls.py
+++ b/scale/standins/counter_calls.py
@@ -5,7 +5,7 @@
 import re
 from dataclasses import dataclass
 
-MAX_LIFETIME_S = 60.0  # a longer lifetime of a new name is cut to this
+MAX_LIFETIME_S = 60.0  # longer lifetimes are reduced to this
 MAX_AMOUNT = 1e9  # the largest amount, of either sign, that one call may add
 ADD_PATTERN = re.compile(rb"add ([!-~]{1,64}) (-?[0-9.]+(?:[eE][-+]?[0-9]+)?) ([0-9]{1,9})")
 
--- a/scale/standins/counter_parts.py
+++ b/scale/standins/counter_parts.py
@@ -22,11 +22,11 @@
     def __init__(self, calls_per_s: float, max_queued_calls: int) -> None:
         self.calls_per_s = calls_per_s
         self.max_queued_calls = max_queued_calls
-        self.free_at = 0.0  # when all queued calls are done, on the clock of the event loop
+        self.free_at = 0.0  # time of the event loop at which all queued calls are done
         self.totals: dict[bytes, Total] = {}
 
-    def reserve_turn(self, now: float) -> float | None:
-        """Queue a call that comes now; return when it is done, or None if the queue is full."""
+    def queue_call(self, now: float) -> float | None:
+        """Queue a call that arrives now; return when it will be done, or None if the queue is full."""
         begins_at = max(now, self.free_at)
         if (begins_at - now) * self.calls_per_s >= self.max_queued_calls - ROUNDING_TOLERANCE_CALLS:
             return None
--- a/scale/standins/histograms.py
+++ b/scale/standins/histograms.py
@@ -6,8 +6,8 @@
 
 from hdrh.histogram import HdrHistogram
 
-MIN_US = 1  # a shorter time is recorded as this
-MAX_US = 120_000_000  # a longer time is recorded as this
+MIN_US = 1  # shorter times are recorded as this
+MAX_US = 120_000_000  # longer times are recorded as this
 SIGNIFICANT_DIGITS = 3
 
 
@@ -20,7 +20,7 @@
             self.add_encoded(encoded)
 
     def record(self, seconds: float) -> None:
-        """Record one time; one that is out of range is recorded as the nearest limit."""
+        """Record one time; a time out of range is recorded as the nearest limit."""
         self._histogram.record_value(min(max(round(seconds * 1e6), MIN_US), MAX_US))
 
     def add_encoded(self, encoded: str) -> None:
--- a/scale/standins/registry.py
+++ b/scale/standins/registry.py
@@ -59,21 +59,21 @@
 class Registry:
     """The list of backends and its recent changes.
 
-    An answer is encoded once for all calls that hold the same version.
+    A response body is encoded only once for all callers that have the same version of the list.
     """
 
     def __init__(self, entries: Iterable[Entry] = ()) -> None:
         self.entries = {entry.id: entry for entry in entries}  # by id
         self.version = 1
         self.changes: deque[PublishedChange] = deque(maxlen=MAX_KEPT_CHANGES)
-        self._encoded_answers: dict[int | None, bytes] = {}  # by the version that the caller holds
+        self._encoded_bodies: dict[int | None, bytes] = {}  # by the version that the caller has
 
     def publish(self, entries: Iterable[Entry]) -> PublishedChange:
         """Change some entries; an entry in the state `gone` is removed from the list."""
         change = PublishedChange(self.version + 1, time.monotonic(), tuple(entries))
         self.version = change.version
         self.changes.append(change)
-        self._encoded_answers.clear()
+        self._encoded_bodies.clear()
         for entry in change.entries:
             if entry.state == "gone":
                 self.entries.pop(entry.id, None)
@@ -81,30 +81,30 @@
                 self.entries[entry.id] = entry
         return change
 
-    def encode_answer(self, held_version: int | None) -> bytes:
-        """Return the encoded answer to a call from an ingress that holds a version of the list.
+    def encode_response_body(self, held_version: int | None) -> bytes:
+        """Return the body of the response to a caller that has a version of the list.
 
-        It contains the changes after that version, or the complete list if the version is None or its next
-        change is no longer kept.
+        The body contains the changes after that version.  It contains the complete list if the version is
+        None or unknown, or if a change after it is no longer kept.
         """
         oldest_kept = self.changes[0].version if self.changes else self.version + 1
         if held_version is not None and not oldest_kept - 1 <= held_version <= self.version:
             held_version = None
-        if held_version not in self._encoded_answers:
-            self._encoded_answers[held_version] = self._encode(held_version)
-        return self._encoded_answers[held_version]
+        if held_version not in self._encoded_bodies:
+            self._encoded_bodies[held_version] = self._encode(held_version)
+        return self._encoded_bodies[held_version]
 
     def _encode(self, held_version: int | None) -> bytes:
         if held_version is None:
             rows = list(self.entries.values())
         else:
-            latest: dict[str, Entry] = {}
+            latest_entries: dict[str, Entry] = {}
             for change in reversed(self.changes):
                 if change.version <= held_version:
                     break
                 for entry in reversed(change.entries):
-                    latest.setdefault(entry.id, entry)
-            rows = list(latest.values())
+                    latest_entries.setdefault(entry.id, entry)
+            rows = list(latest_entries.values())
         full = "true" if held_version is None else "false"
         servers = ",".join(row.encode() for row in rows)
         return f'{{"version":{self.version},"full":{full},"servers":[{servers}]}}'.encode()
--- a/scale/standins/traffic.py
+++ b/scale/standins/traffic.py
@@ -21,7 +21,7 @@
     plan: PlanModel
     tenant_key: str
     first_ingress: int
-    """The number of the first ingress that serves the tenant; the others have the numbers after it."""
+    """The first of the `plan.spread` consecutive ingresses that serve the tenant."""
     units: int
 
 
@@ -62,7 +62,7 @@
                 self._count_tenants(first_ingress)
             )
             plan = self.get_plan(tenant)
-            # Otherwise the plan does not spread the tenant as far as this ingress: draw again.
+            # Draw again if the spread of the tenant's plan does not reach as far as this ingress.
             if offset < plan.spread:
                 break
         position = self.rng.random() * self._cumulative_class_shares[-1]
--- a/tests/scale/standins/test_agent.py
+++ b/tests/scale/standins/test_agent.py
@@ -20,13 +20,13 @@
 
 
 async def call_agent(stream: Stream, query: str = "") -> Any:
-    """Send a call, and return its answer as read_answer does."""
+    """Send a call, and return its response as read_response does."""
     stream[1].write(f"GET /api/targets{query} HTTP/1.1\r\nHost: a\r\n\r\n".encode())
-    return await read_answer(stream)
+    return await read_response(stream)
 
 
-async def read_answer(stream: Stream) -> Any:
-    """Read an answer, and return its decoded body, or its status code if that is not 200."""
+async def read_response(stream: Stream) -> Any:
+    """Read a response, and return its decoded body, or its status code if that is not 200."""
     head = (await stream[0].readuntil(b"\r\n\r\n")).decode()
     length = int(head.lower().split("content-length: ")[1].split("\r\n")[0])
     body = await stream[0].readexactly(length)
@@ -56,7 +56,7 @@
         }
         assert {row["id"] for row in (await call_agent(stream))["servers"]} == {"b1", "b3"}
         counts = agent.counts["all"]
-        assert (counts.calls, counts.whole_lists) == (4, 2)
+        assert (counts.calls, counts.complete_lists) == (4, 2)
         agent.close()
 
     run_async_test(body())
@@ -76,16 +76,16 @@
 def test_call_with_a_version_outside_the_kept_changes_gets_the_complete_list(after: int) -> None:
     registry = Registry([make_entry("b1")])
     registry.publish([make_entry("b2")])
-    assert json.loads(registry.encode_answer(after))["full"]
+    assert json.loads(registry.encode_response_body(after))["full"]
 
 
 def test_calls_with_the_same_version_share_one_encoded_answer() -> None:
     registry = Registry([make_entry("b1")])
     registry.publish([make_entry("b2")])
-    assert registry.encode_answer(1) is registry.encode_answer(1)
-    old_answer = registry.encode_answer(1)
+    assert registry.encode_response_body(1) is registry.encode_response_body(1)
+    old_body = registry.encode_response_body(1)
     registry.publish([make_entry("b3")])
-    assert registry.encode_answer(1) != old_answer
+    assert registry.encode_response_body(1) != old_body
 
 
 def test_agent_that_is_down_is_silent_or_refuses_calls() -> None:
--- a/tests/scale/standins/test_counter.py
+++ b/tests/scale/standins/test_counter.py
@@ -48,16 +48,16 @@
 
 def test_part_accepts_as_many_calls_as_its_queue_holds() -> None:
     part = CounterPart(calls_per_s=50, max_queued_calls=3)
-    assert [part.reserve_turn(100.0) for _ in range(5)] == [
+    assert [part.queue_call(100.0) for _ in range(5)] == [
         pytest.approx(100.02),
         pytest.approx(100.04),
         pytest.approx(100.06),
         None,
         None,
     ]
-    assert part.reserve_turn(100.02) == pytest.approx(100.08)
-    assert part.reserve_turn(100.02) is None
-    assert part.reserve_turn(200.0) == pytest.approx(200.02)
+    assert part.queue_call(100.02) == pytest.approx(100.08)
+    assert part.queue_call(100.02) is None
+    assert part.queue_call(200.0) == pytest.approx(200.02)
 
 
 def test_calls_are_rejected_while_the_queue_is_full() -> None:
--- a/tests/scale/test_cold.py
+++ b/tests/scale/test_cold.py
@@ -59,8 +59,8 @@
 def test_fleet_does_not_overload_cold_backends(ingresses: int, kind: ColdStartKind, notice: float) -> None:
     changes = {"ingresses": ingresses, "start_kind": kind, "longest_notice_s": notice, "load": 1.2}
     job = SMALL_FLEET_JOB.model_copy(update=changes)
-    outcomes = Fleet(job).simulate()
-    measured = measure_window_usage(job, list(outcomes.arrivals_from_informed.values()))
+    record = Fleet(job).simulate()
+    measured = measure_window_usage(job, list(record.arrivals_from_informed.values()))
     assert measured.windows >= 5  # cold backends get requests
     assert measured.beyond_chance == 0
 
@@ -68,8 +68,8 @@
 def test_windows_show_the_overload_by_a_fleet_without_slow_start(monkeypatch: pytest.MonkeyPatch) -> None:
     monkeypatch.setattr(LoadBalancer, "slow_start_allows", lambda *_: True)
     job = ColdStartJob(ingresses=60, backends=12, load=1.2, capacity=5.0, warm_up_s=4.0, cold_s=6.0)
-    outcomes = Fleet(job).simulate()
-    assert measure_window_usage(job, list(outcomes.arrivals_from_informed.values())).beyond_chance > 0
+    record = Fleet(job).simulate()
+    assert measure_window_usage(job, list(record.arrivals_from_informed.values())).beyond_chance > 0
 
 
 def test_simulation_is_repeatable() -> None:
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -68,7 +68,7 @@
         numbers=[0],
         agent=await agent.listen("hollow"),
         counter=await counter.listen(),
-        known=agent.registry.encode_answer(None).decode(),
+        known=agent.registry.encode_response_body(None).decode(),
     )
     worker = Worker(start)
     await worker.start()
@@ -165,16 +165,16 @@
             assert [incarnation.acted[-1][0] for incarnation in report.incarnations] == [2, 2]
             assert report.incarnations[0].ended is not None
             assert report.incarnations[0].ended <= report.incarnations[1].started
-            assert agent.counts["hollow"].whole_lists == 0
+            assert agent.counts["hollow"].complete_lists == 0
 
     run_async_test(body())
 
 
 def test_known_list_is_decoded_as_the_agent_encodes_it() -> None:
-    known = decode_known_endpoints(Registry(ENTRIES).encode_answer(None).decode())
+    known = decode_known_endpoints(Registry(ENTRIES).encode_response_body(None).decode())
     assert known.kind is api.EndpointUpdateKind.RESTORED
     assert known.version == 1
     assert known.backends == tuple(
         api.Backend(entry.id, entry.zone, entry.kind, entry.cell) for entry in ENTRIES
     )
-    assert json.loads(Registry(ENTRIES).encode_answer(None))["full"]
+    assert json.loads(Registry(ENTRIES).encode_response_body(None))["full"]
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -90,7 +90,7 @@
 def test_demand_is_repeatable_and_requests_come_from_its_tenants() -> None:
     sizes = build_sizes(tenants=1_000, ingresses=30)
     demand = build_demand(sizes, 1)
-    assert len(demand.tenants) == sizes.tenants_here == 100
+    assert len(demand.tenants) == sizes.tenants_per_ingress == 100
     assert len({tenant.key for tenant in demand.tenants}) == 100
     assert demand == build_demand(sizes, 1)
     settings = build_settings(sizes, demand, 0)
@@ -116,7 +116,7 @@
 
 def test_list_is_decoded_as_it_was_encoded_and_keeps_its_length() -> None:
     backend_list, decode = BackendList(50, 1), find_decoder()
-    assert len(decode(backend_list.encode_full_list())) == 50
+    assert len(decode(backend_list.encode_complete_list())) == 50
     changed_backends = [decode(backend_list.encode_next_change(1_000.0))[0] for _ in range(8)]
     assert [backend.readiness for backend in changed_backends[:3]] == [
         Readiness.READY,
@@ -125,7 +125,7 @@
     ]
     assert changed_backends[1].id == changed_backends[2].id
     assert changed_backends[3].started == 1_000.0
-    assert len(json.loads(backend_list.encode_full_list())["servers"]) == 50
+    assert len(json.loads(backend_list.encode_complete_list())["servers"]) == 50
 
 
 def test_child_processes_end_when_the_sweep_is_terminated(tmp_path: Path) -> None:
