--- a/scale/cold/fleet.py
+++ b/scale/cold/fleet.py
@@ -85,9 +85,9 @@
             self._schedule.add(starts_at + notice_s, partial(self._deliver_update, ingress))
         end = starts_at + self._job.cold_s
         while self._schedule.is_due_before(end):
-            due = self._schedule.pop()
-            self._now = due.at
-            due.item()
+            scheduled = self._schedule.pop()
+            self._now = scheduled.due_at
+            scheduled.item()
         return self._record
 
     def _schedule_request(self, ingress: Ingress) -> None:
--- a/scale/commands/report.py
+++ b/scale/commands/report.py
@@ -50,7 +50,7 @@
 
 
 def _check_page(page: Path, text: str) -> None:
-    """Exit with OUT_OF_DATE unless the page holds exactly this text."""
+    """Exit with EXIT_OUT_OF_DATE if the page differs from the text."""
     if page.exists() and page.read_text(encoding="utf-8") == text:
         click.echo(f"{page.name} is up to date")
         return
--- a/scale/environment.py
+++ b/scale/environment.py
@@ -71,11 +71,11 @@
         out.
         """
         span_s = max(time.monotonic() - self._started_at, MIN_SPAN_S)
-        own_ids = _own_process_ids()
+        own_process_ids = _own_process_ids()
         shares = [
             (cpu_s - self._cpu_before.get(process, 0.0)) / span_s
             for process, cpu_s in _cpu_seconds_by_process().items()
-            if process[0] not in own_ids
+            if process[0] not in own_process_ids
         ]
         busy_shares = [share for share in shares if share > BUSY_SHARE]
         return Environment(
--- a/scale/experiment/backends_process.py
+++ b/scale/experiment/backends_process.py
@@ -30,7 +30,7 @@
                 for listener in message.listeners:
                     backends[listener].set_silent(message.silent)
             case ColdBackend():
-                backends[message.listener].start_cold(message.started)
+                backends[message.listener].begin_cold_start(message.started)
             case Finish():
                 send_message(_make_report(backends))
                 break
@@ -41,14 +41,14 @@
 def _make_report(backends: list[BackendServer]) -> BackendsReport:
     counts = [backend.counts for backend in backends]
     return BackendsReport(
-        commands=sum(c.commands for c in counts),
-        served=sum(c.served for c in counts),
-        busy=sum(c.busy for c in counts),
-        errors=sum(c.errors for c in counts),
-        connections=sum(c.connections for c in counts),
+        commands=sum(count.commands for count in counts),
+        served=sum(count.served for count in counts),
+        busy=sum(count.busy for count in counts),
+        errors=sum(count.errors for count in counts),
+        connections=sum(count.connections for count in counts),
         cold_units={
-            number: backend.queue.cold_units
-            for number, backend in enumerate(backends)
+            listener: backend.queue.cold_units
+            for listener, backend in enumerate(backends)
             if backend.queue.cold_units
         },
     )
--- a/scale/experiment/child.py
+++ b/scale/experiment/child.py
@@ -75,14 +75,14 @@
         return message
 
     def measure_cpu_s(self) -> float:
-        """Return the CPU seconds used so far, or 0 once the process has exited."""
+        """Return the CPU seconds used so far, or 0 if the process has exited."""
         with contextlib.suppress(psutil.Error):
             times = self.monitor.cpu_times()
             return float(times.user + times.system)
         return 0.0
 
     def measure_resident_bytes(self) -> int:
-        """Return the resident memory, or 0 once the process has exited."""
+        """Return the resident memory in bytes, or 0 if the process has exited."""
         with contextlib.suppress(psutil.Error):
             return int(self.monitor.memory_info().rss)
         return 0
--- a/scale/experiment/hollow_process.py
+++ b/scale/experiment/hollow_process.py
@@ -10,8 +10,8 @@
 from scale.experiment.pipe import receive_commands, run_child, send_message
 
 
-def use_project(project: Path) -> None:
-    """Import `ingress` from the measured project, ahead of any other copy on the import path."""
+def import_measured_package(project: Path) -> None:
+    """Import `ingress` from the measured project, not from another copy on the import path."""
     sys.path.insert(0, str(project))
     import ingress
 
@@ -47,5 +47,5 @@
 
 
 if __name__ == "__main__":
-    use_project(Path(sys.argv[1]))
+    import_measured_package(Path(sys.argv[1]))
     sys.exit(run_child(serve))
--- a/scale/experiment/lag.py
+++ b/scale/experiment/lag.py
@@ -18,7 +18,7 @@
         self._timer: asyncio.TimerHandle | None = None
 
     def start(self) -> None:
-        """Take the first sample at once, and further ones at the fixed period."""
+        """Take the first sample now, and further ones at the fixed period."""
         self._sample(self._loop.time())
 
     def stop(self) -> None:
--- a/scale/experiment/launch.py
+++ b/scale/experiment/launch.py
@@ -28,11 +28,13 @@
 class Launcher:
     """Starts the stand-ins, the child processes and the real ingresses of one run."""
 
-    def __init__(self, scenario: Scenario, project: Path, real_command: str, stack: AsyncExitStack) -> None:
+    def __init__(
+        self, scenario: Scenario, project: Path, real_command: str, exit_stack: AsyncExitStack
+    ) -> None:
         self._scenario = scenario
         self._project = project
         self._real_command = real_command
-        self._stack = stack
+        self._exit_stack = exit_stack
         self._log = structlog.get_logger().bind(scenario=scenario.name)
 
     async def start(self) -> Parts:
@@ -40,7 +42,7 @@
         backends_child, addresses = await self._start_backends()
         slots = make_slots(self._scenario, addresses)
         agent = Agent(Registry(slot.make_entry() for slot in slots))
-        self._stack.callback(agent.close)
+        self._exit_stack.callback(agent.close)
         counter = self._make_counter()
         known_endpoints = agent.registry.encode_response_body(None).decode()
         counter_address = await counter.listen()
@@ -66,12 +68,12 @@
         model = self._scenario.counter
         ingress_count = self._scenario.sizes.ingresses
         counter = CounterServer(model.parts, model.calls_per_s, model.queue, ingress_count)
-        self._stack.callback(counter.close)
+        self._exit_stack.callback(counter.close)
         return counter
 
     async def _spawn(self, name: str, module: str, *arguments: Path) -> Child:
         child = await Child.spawn(name, f"scale.experiment.{module}", *arguments)
-        self._stack.push_async_callback(child.close)
+        self._exit_stack.push_async_callback(child.close)
         return child
 
     async def _start_backends(self) -> tuple[Child | None, list[Address]]:
@@ -125,7 +127,7 @@
             )
             ingress = RealIngress(setup)
             real_ingresses[number] = ingress
-            self._stack.push_async_callback(ingress.close)
+            self._exit_stack.push_async_callback(ingress.close)
         await asyncio.gather(*(ingress.start() for ingress in real_ingresses.values()))
         return real_ingresses
 
--- a/scale/experiment/measures.py
+++ b/scale/experiment/measures.py
@@ -17,7 +17,7 @@
     return times
 
 
-def share(part: float, whole: float) -> float:
+def calculate_share(part: float, whole: float) -> float:
     """Return the share of a part in a whole, or 0 if the whole is 0."""
     return part / whole if whole else 0.0
 
@@ -30,9 +30,9 @@
     real_ended_count = sum(client_counts[key] for key in ("served", "refused", "failed", "lost"))
     measures = {
         "requests": float(totals["requests"]),
-        "served_share": share(totals["served"], ended_count),
-        "refused_share": share(totals["refused"], ended_count),
-        "failed_share": share(failed_count, ended_count),
+        "served_share": calculate_share(totals["served"], ended_count),
+        "refused_share": calculate_share(totals["refused"], ended_count),
+        "failed_share": calculate_share(failed_count, ended_count),
         "forced": float(totals["forced"]),
         "cut_by_restart": float(totals["cut"]),
         "unreachable": float(totals["unreachable"]),
@@ -42,7 +42,7 @@
         "wrong": float(totals["wrong"]),
     }
     if real_ended_count:
-        measures["real_served_share"] = share(client_counts["served"], real_ended_count)
+        measures["real_served_share"] = calculate_share(client_counts["served"], real_ended_count)
         measures["real_requests"] = float(client_counts["requests"])
     return measures
 
@@ -57,11 +57,11 @@
     measures = {
         "request_cpu_p50_us": request_cpu.get_percentile_us(50),
         "request_cpu_p99_us": request_cpu.get_percentile_us(99),
-        "counter_wait_share": share(counts["waited"], counts["requests"]),
+        "counter_wait_share": calculate_share(counts["waited"], counts["requests"]),
         "counter_wait_p50_ms": counter_wait.get_percentile_ms(50),
         "counter_wait_p99_ms": counter_wait.get_percentile_ms(99),
-        "counter_unanswered_share": share(counts["counter_unanswered"], counts["counter_calls"]),
-        "counter_calls_per_request": share(counts["counter_calls"], counts["requests"]),
+        "counter_unanswered_share": calculate_share(counts["counter_unanswered"], counts["counter_calls"]),
+        "counter_calls_per_request": calculate_share(counts["counter_calls"], counts["requests"]),
         "watch_cancels_repeated": float(counts["cancellations_lost"]),
         "worker_lag_p50_ms": worker_lag.get_percentile_ms(50),
         "worker_lag_p99_ms": worker_lag.get_percentile_ms(99),
--- a/scale/experiment/memory_probe.py
+++ b/scale/experiment/memory_probe.py
@@ -8,7 +8,7 @@
 
 import psutil
 
-from scale.experiment.hollow_process import use_project
+from scale.experiment.hollow_process import import_measured_package
 from scale.scenario import load_scenario
 from scale.standins.registry import Entry, Registry
 
@@ -39,5 +39,5 @@
 
 
 if __name__ == "__main__":
-    use_project(Path(sys.argv[1]))
+    import_measured_package(Path(sys.argv[1]))
     print(asyncio.run(measure_hollow_bytes(Path(sys.argv[2]))))
--- a/scale/experiment/messages.py
+++ b/scale/experiment/messages.py
@@ -38,7 +38,7 @@
 
 
 class StartHollow(Message):
-    """Request to a worker to start the hollow ingresses of these numbers.
+    """Request to a worker to start the hollow ingresses with the given numbers.
 
     `known` is the initial endpoint list, as JSON text in the discovery agent's format.
     """
--- a/scale/experiment/runner.py
+++ b/scale/experiment/runner.py
@@ -57,9 +57,9 @@
         commit, dirty = read_commit(self._options.project)
         taken_at = now()
         started_at = time.monotonic()
-        async with AsyncExitStack() as stack:
+        async with AsyncExitStack() as exit_stack:
             with MachineObserver(self._options.note) as observer:
-                record = await self._run_phases(stack)
+                record = await self._run_phases(exit_stack)
                 measures = run_measures(record)
         rounded_measures = {key: round(value, MEASURE_DIGITS) for key, value in measures.items()}
         return Result(
@@ -74,9 +74,9 @@
             events=record.timeline.events,
         )
 
-    async def _run_phases(self, stack: AsyncExitStack) -> RunRecord:
+    async def _run_phases(self, exit_stack: AsyncExitStack) -> RunRecord:
         """Start the parts, and go through the idle phase, the load, the last changes and the reports."""
-        launcher = Launcher(self._scenario, self._options.project, self._options.real_command, stack)
+        launcher = Launcher(self._scenario, self._options.project, self._options.real_command, exit_stack)
         parts = await launcher.start()
         timeline = Timeline(self._scenario, parts)
         timeline.real_incarnations = [
@@ -87,7 +87,7 @@
         resident_measures = _resident_measures(parts, self._scenario.sizes.hollow)
         await self._wait_for_watches(parts)
         observed_until = time.monotonic()
-        longest_deadline_s = max(cls.deadline_s for cls in self._scenario.classes)
+        longest_deadline_s = max(request_class.deadline_s for request_class in self._scenario.classes)
         reports = await collect_reports(parts, longest_deadline_s + REPORT_TIMEOUT_S)
         return RunRecord(self._scenario, timeline, reports, idle, load, resident_measures, observed_until)
 
--- a/scale/experiment/summary.py
+++ b/scale/experiment/summary.py
@@ -7,7 +7,7 @@
 
 from scale.experiment.change_delays import change_measures, measure_change_delays
 from scale.experiment.cold_load import cold_peak_ratio, merge_cold_units
-from scale.experiment.measures import hollow_measures, merge_times, outcome_measures, share
+from scale.experiment.measures import calculate_share, hollow_measures, merge_times, outcome_measures
 from scale.experiment.messages import ClientsReport, Incarnation
 from scale.experiment.parts import RealIncarnation, real_group_name
 from scale.experiment.reports import Reports
@@ -60,7 +60,7 @@
     idle_cores = (idle.end.real_cpu_s - idle.start.real_cpu_s) / idle.duration_s
     cpu_s = load.end.real_cpu_s - load.start.real_cpu_s - idle_cores * load.duration_s
     return {
-        "real_request_cpu_us": max(0.0, share(cpu_s * 1e6, measures.get("real_requests", 0.0))),
+        "real_request_cpu_us": max(0.0, calculate_share(cpu_s * 1e6, measures.get("real_requests", 0.0))),
         "added_latency_p50_ms": added.get_percentile_ms(50),
         "added_latency_p99_ms": added.get_percentile_ms(99),
         "client_latency_p50_ms": latency.get_percentile_ms(50),
@@ -70,8 +70,12 @@
 
 def _change_measures(record: RunRecord) -> dict[str, float]:
     agent = record.timeline.parts.agent
-    hollow_incarnations = [each for report in record.reports.hollow for each in report.incarnations]
-    real_incarnations = [_real_incarnation(each, agent) for each in record.timeline.real_incarnations]
+    hollow_incarnations = [
+        incarnation for report in record.reports.hollow for incarnation in report.incarnations
+    ]
+    real_incarnations = [
+        _build_real_incarnation(incarnation, agent) for incarnation in record.timeline.real_incarnations
+    ]
     measures = change_measures(
         measure_change_delays(
             agent.published_changes, hollow_incarnations + real_incarnations, record.observed_until
@@ -86,7 +90,7 @@
     return measures
 
 
-def _real_incarnation(real: RealIncarnation, agent: Agent) -> Incarnation:
+def _build_real_incarnation(real: RealIncarnation, agent: Agent) -> Incarnation:
     """Return the incarnation of a real ingress, with the versions that its watches show it has acted on."""
     ended_at = real.ended_at if real.ended_at is not None else float("inf")
     acted = [
--- a/scale/experiment/timeline.py
+++ b/scale/experiment/timeline.py
@@ -75,7 +75,7 @@
         self.record_event("churn_done", backends=len(chosen_slots))
 
     async def _replace_backend(self, slot: Slot) -> None:
-        """List a new backend when the old one begins to drain; remove the old one once it has drained."""
+        """List a new backend when the old one begins to drain; remove the old one when it has drained."""
         draining = slot.make_entry("draining")
         removed = slot.make_entry("gone")
         slot.replace_backend()
@@ -139,7 +139,9 @@
         ingress = self.parts.real_ingresses[number]
         clients = self.parts.clients_child
         incarnation = next(
-            each for each in self.real_incarnations if each.ingress_number == number and each.ended_at is None
+            running
+            for running in self.real_incarnations
+            if running.ingress_number == number and running.ended_at is None
         )
         incarnation.ended_at = time.monotonic()
         ingress.terminate()
--- a/scale/experiment/worker.py
+++ b/scale/experiment/worker.py
@@ -29,7 +29,7 @@
         self.known_endpoints = decode_known_endpoints(start.known)
         self.state.apply_backends(self.known_endpoints.backends)
         self.settings_by_ingress = {
-            n: decode_settings(ingress_settings(start.scenario, n)) for n in start.numbers
+            number: decode_settings(ingress_settings(start.scenario, number)) for number in start.numbers
         }
         self.incarnation_counts: Tally[int] = Tally()
         self.ended_incarnations: list[Incarnation] = []
@@ -84,7 +84,7 @@
 
     async def _wait_for_open_requests(self) -> None:
         """Wait until no request is open, but not longer than the longest deadline plus DRAIN_SLACK_S."""
-        longest_deadline_s = max(each.deadline_s for each in self.scenario.classes)
+        longest_deadline_s = max(request_class.deadline_s for request_class in self.scenario.classes)
         with contextlib.suppress(TimeoutError):
             async with asyncio.timeout(longest_deadline_s + DRAIN_SLACK_S):
                 for ingress in self.ingresses.values():
--- a/scale/hollow/attempts.py
+++ b/scale/hollow/attempts.py
@@ -78,18 +78,18 @@
         self._worker_state.count_cold_units(attempt.backend, request.units, self._clock())
         model = self._worker_state.scenario.backend
         latency = self._rng.lognormvariate(math.log(model.latency_ms / 1000), model.latency_sigma)
-        if self._worker_state.is_silent(attempt.backend) or latency > attempt.timeout:
-            self._end_after(attempt.timeout, request_id, attempt, api.Outcome.TIMEOUT)
+        if self._worker_state.is_silent(attempt.backend) or latency > attempt.timeout_s:
+            self._end_after(attempt.timeout_s, request_id, attempt, api.Outcome.TIMEOUT)
         else:
             attempt.timer = self._loop.call_later(latency, self._handle_due_reply, request_id, attempt)
 
-    def _end_after(self, delay: float, request_id: str, attempt: Attempt, outcome: api.Outcome) -> None:
-        attempt.timer = self._loop.call_later(delay, self._end, request_id, attempt, outcome)
+    def _end_after(self, delay_s: float, request_id: str, attempt: Attempt, outcome: api.Outcome) -> None:
+        attempt.timer = self._loop.call_later(delay_s, self._end, request_id, attempt, outcome)
 
     def _handle_due_reply(self, request_id: str, attempt: Attempt) -> None:
         """End an attempt whose reply is due, or let it time out if its backend is silent by now."""
         if self._worker_state.is_silent(attempt.backend):
-            remaining_s = attempt.sent_at + attempt.timeout - time.monotonic()
+            remaining_s = attempt.sent_at + attempt.timeout_s - time.monotonic()
             self._end_after(max(0.0, remaining_s), request_id, attempt, api.Outcome.TIMEOUT)
         else:
             self._end(request_id, attempt, api.Outcome.OK)
--- a/scale/hollow/requests.py
+++ b/scale/hollow/requests.py
@@ -19,7 +19,7 @@
     """The id of the backend."""
     sent_at: float
     """When it was sent, on the monotonic clock."""
-    timeout: float
+    timeout_s: float
     """How long it may take, in seconds."""
     timer: asyncio.TimerHandle | None = None
     """Ends the attempt."""
--- a/scale/real.py
+++ b/scale/real.py
@@ -187,7 +187,7 @@
         if self.process is None:
             return True
         cpu_s = self.measure_usage().cpu_s
-        longest_deadline_s = max(cls.deadline_s for cls in self.setup.scenario.classes)
+        longest_deadline_s = max(request_class.deadline_s for request_class in self.setup.scenario.classes)
         try:
             await asyncio.wait_for(self.process.wait(), longest_deadline_s + STOP_SLACK_S)
         except TimeoutError:
--- a/scale/report/evidence.py
+++ b/scale/report/evidence.py
@@ -58,7 +58,7 @@
         return _figure_of(growth.estimate(target), (run.file_name,))
 
     def estimate_at_targets(self, measure: str, *sweeps: str, version: Version = "after") -> Figure:
-        """Estimate a measure with the dimensions of several sweeps at their targets at once.
+        """Estimate a measure with the dimensions of several sweeps all at their targets.
 
         If a point reaches all of these targets, its value is returned as measured.  Otherwise the value is
         that of the costliest sweep alone, and the high end of the range adds the growth of the other sweeps.
--- a/scale/report/leases.py
+++ b/scale/report/leases.py
@@ -24,7 +24,7 @@
 
 @dataclass(frozen=True, slots=True)
 class LeaseLoad:
-    """The load of a lease design at full size, with all tenants in use at once.  Rates are per second."""
+    """The load of a lease design at full size, while all tenants are active.  Rates are per second."""
 
     shards: float
     slices: float  # leases in use: one for each pair of a tenant and an ingress that serves it
--- a/scale/report/plots.py
+++ b/scale/report/plots.py
@@ -16,7 +16,7 @@
 from scale.report.targets import DIMENSION_TARGETS
 from scale.report.versions import SelectedRuns, Sweep
 
-COLUMNS = 2  # columns of plots in one figure
+COLUMN_COUNT = 2  # columns of plots in one figure
 PANEL_INCHES = (3.6, 2.5)  # width and height of one measure's plot
 MIN_LOG_SCALE_RATIO = 10.0  # ratio of the highest to the lowest cost up to which the cost axis is linear
 COLORS = {"before": "#b3541e", "after": "#1f5f8b"}
@@ -66,11 +66,11 @@
     ]
     if not measures:
         return None
-    rows = ceil(len(measures) / COLUMNS)
+    rows = ceil(len(measures) / COLUMN_COUNT)
     with matplotlib.rc_context(STYLE):
-        size = (PANEL_INCHES[0] * COLUMNS, PANEL_INCHES[1] * rows)
+        size = (PANEL_INCHES[0] * COLUMN_COUNT, PANEL_INCHES[1] * rows)
         figure = Figure(figsize=size, layout="constrained")
-        grid = figure.subplots(rows, COLUMNS, squeeze=False)
+        grid = figure.subplots(rows, COLUMN_COUNT, squeeze=False)
         panels = list(grid.flat)
         for axes, measure in zip(panels, measures, strict=False):
             _draw_panel(axes, sweep, measure)
--- a/scale/schedule.py
+++ b/scale/schedule.py
@@ -13,7 +13,7 @@
 class ScheduledItem(Generic[T]):
     """An item with the time at which it is due; items of the same time keep the order of their addition."""
 
-    at: float  # seconds of the simulated clock
+    due_at: float  # seconds of the simulated clock
     sequence_number: int  # position in the order of addition, from 1
     item: T = field(compare=False)
 
@@ -28,14 +28,14 @@
     def __bool__(self) -> bool:
         return bool(self._heap)
 
-    def add(self, at: float, item: T) -> None:
+    def add(self, due_at: float, item: T) -> None:
         """Add an item that is due at the given time (s)."""
         self._added_count += 1
-        heapq.heappush(self._heap, ScheduledItem(at, self._added_count, item))
+        heapq.heappush(self._heap, ScheduledItem(due_at, self._added_count, item))
 
     def is_due_before(self, end: float) -> bool:
         """Return whether an item is due before the given time (s)."""
-        return bool(self._heap) and self._heap[0].at < end
+        return bool(self._heap) and self._heap[0].due_at < end
 
     def pop(self) -> ScheduledItem[T]:
         """Remove and return the item that is due next."""
--- a/scale/slopes/passes/counter.py
+++ b/scale/slopes/passes/counter.py
@@ -13,7 +13,7 @@
 from scale.slopes.simulation import Simulation
 from scale.slopes.world import START_TIME_S, World
 
-BACKENDS = 60  # few: their number does not affect the counter, but slows down the simulation
+BACKEND_COUNT = 60  # few: their number does not affect the counter, but slows down the simulation
 WARM_UP_S = 8.0  # in simulated time
 MEASURED_S = 12.0  # in simulated time
 STEP_S = 0.001  # in simulated time; shorter than the latency of the counter
@@ -26,7 +26,7 @@
     tenants are simulated, each with its own decision module, because what one of them adds to a count changes
     the replies to the others.
     """
-    counter = World(job, BACKENDS).create_counter(job.sizes.spread)
+    counter = World(job, BACKEND_COUNT).create_counter(job.sizes.spread)
     siblings = [_start_sibling(job, number, counter) for number in range(job.sizes.spread)]
     warmed_up_at = START_TIME_S + WARM_UP_S
     _run_in_lockstep(siblings, START_TIME_S, warmed_up_at)
@@ -42,7 +42,7 @@
 
 
 def _start_sibling(job: Job, number: int, counter: CounterStandIn) -> Simulation:
-    world = World(job, BACKENDS, number)
+    world = World(job, BACKEND_COUNT, number)
     simulation = world.create_simulation(CpuMeter(world.create_gateway()), counter)
     simulation.feed(world.build_complete_update(EndpointUpdateKind.RESTORED))
     world.start_requests(simulation)
@@ -56,12 +56,12 @@
             simulation.run_until(start + step * STEP_S)
 
 
-def _calculate_measures(job: Job, statistics: list[Statistics]) -> Measures:
-    measured_s = MEASURED_S * len(statistics)
-    requests = sum(each.request_count for each in statistics)
-    calls = sum(each.counter_call_count for each in statistics)
-    unanswered = sum(each.unanswered_call_count for each in statistics)
-    waits_ms = [1000 * wait for each in statistics for wait in each.counter_waits_s]
+def _calculate_measures(job: Job, all_statistics: list[Statistics]) -> Measures:
+    measured_s = MEASURED_S * len(all_statistics)
+    requests = sum(stats.request_count for stats in all_statistics)
+    calls = sum(stats.counter_call_count for stats in all_statistics)
+    unanswered = sum(stats.unanswered_call_count for stats in all_statistics)
+    waits_ms = [1000 * wait for stats in all_statistics for wait in stats.counter_waits_s]
     return {
         "counter_calls_per_request": calls / requests,
         "counter_calls_per_s_fleet": calls / measured_s * job.sizes.ingresses,
@@ -69,7 +69,7 @@
         "counter_wait_p50_ms": float(np.percentile(waits_ms or [0.0], 50)),
         "counter_wait_p99_ms": float(np.percentile(waits_ms or [0.0], 99)),
         "counter_unanswered_share": unanswered / max(1, calls),
-        "counter_refused_share": sum(each.rejected_count for each in statistics) / requests,
-        "counter_bytes_per_s": sum(each.counter_bytes for each in statistics) / measured_s,
+        "counter_refused_share": sum(stats.rejected_count for stats in all_statistics) / requests,
+        "counter_bytes_per_s": sum(stats.counter_bytes for stats in all_statistics) / measured_s,
         "tenants_here": job.sizes.tenants_per_ingress,
     }
--- a/scale/slopes/passes/memory.py
+++ b/scale/slopes/passes/memory.py
@@ -14,7 +14,7 @@
 from scale.slopes.traffic import build_request_of_each_tenant, generate_arrivals
 from scale.slopes.world import START_TIME_S, World
 
-BACKENDS = 400  # of the gateway used to measure the memory of tenants and open requests
+BACKEND_COUNT = 400  # of the gateway used to measure the memory of tenants and open requests
 MAX_OPEN_REQUESTS = 100
 
 
@@ -53,7 +53,7 @@
 
     Each tenant sends one request that is answered; then more requests arrive and stay open.
     """
-    world = World(job, BACKENDS)
+    world = World(job, BACKEND_COUNT)
     gateway = world.create_gateway()
     gateway.handle(START_TIME_S, world.build_complete_update(EndpointUpdateKind.RESTORED))
     bytes_before = _measure_traced_bytes()
--- a/scale/slopes/runner.py
+++ b/scale/slopes/runner.py
@@ -70,7 +70,7 @@
 
 
 def _derive_measures(measures: dict[str, float], sizes: Sizes) -> dict[str, float]:
-    """Return the measures that follow from those of several passes.
+    """Return the measures that are computed from the measures of several passes.
 
     The control bytes of one ingress are those of its counter calls and of the changes of the endpoint list,
     without headers.
--- a/scale/slopes/settings.py
+++ b/scale/slopes/settings.py
@@ -1,4 +1,4 @@
-"""The settings of an ingress in a fleet of given sizes, in the form in which an ingress reads them."""
+"""The settings of an ingress in a fleet of given sizes."""
 
 from __future__ import annotations
 
--- a/scale/slopes/simulation.py
+++ b/scale/slopes/simulation.py
@@ -80,17 +80,17 @@
             self._schedule.add(arrival.arrives_at, arrival)
 
     def _handle_next(self) -> None:
-        due = self._schedule.pop()
-        self.now = max(self.now, due.at)
-        if isinstance(due.item, Arrival):
+        scheduled = self._schedule.pop()
+        self.now = max(self.now, scheduled.due_at)
+        if isinstance(scheduled.item, Arrival):
             if self._arrivals is not None:
-                self._handle(due.item.request)
+                self._handle(scheduled.item.request)
                 self._schedule_next_arrival()
-        elif callable(due.item):
-            self._handle(due.item(self.now))
-            self._schedule.add(self.now + self._change_interval_s, due.item)
+        elif callable(scheduled.item):
+            self._handle(scheduled.item(self.now))
+            self._schedule.add(self.now + self._change_interval_s, scheduled.item)
         else:
-            self._handle(due.item)
+            self._handle(scheduled.item)
 
     def _handle(self, event: Event) -> None:
         if isinstance(event, Request):
--- a/scale/slopes/tables.py
+++ b/scale/slopes/tables.py
@@ -96,7 +96,7 @@
 
 
 def build_ratio_table(result: Result) -> Table:
-    """Return a table of the ratios between points of the acceptance sweep, as far as they were measured."""
+    """Return a table of the ratios between those points of the acceptance sweep that were measured."""
     table = Table("ratio", "of backends/ingresses", "to", "value", title="acceptance, ratios")
     for ratio in RATIOS:
         large_point = _find_point(result, ratio.large)
--- a/scale/slopes/tenants.py
+++ b/scale/slopes/tenants.py
@@ -58,7 +58,8 @@
 def build_demand(sizes: Sizes, seed: int) -> Demand:
     """Return tenants and plans for the request rate of the sizes.
 
-    The rates of the plans are such that the demands of the tenants add up to the requests at their ingresses.
+    The rates of the plans are chosen so that all tenants together request as many units a second as arrive at
+    the ingresses that serve them.
     """
     rng = random.Random(seed)
     tenant_count = sizes.tenants_per_ingress
--- a/scale/standins/agent.py
+++ b/scale/standins/agent.py
@@ -181,7 +181,7 @@
     async def move_listener(self, group: str) -> Address:
         """Move the listener of a group to another port and reset the connections to the old one."""
         self._servers.pop(group).close()
-        for connection in [c for c in self.connections if c.group == group]:
+        for connection in [moved for moved in self.connections if moved.group == group]:
             if connection.transport is not None:
                 connection.transport.abort()
         return await self.listen(group)
--- a/scale/standins/arrivals.py
+++ b/scale/standins/arrivals.py
@@ -16,12 +16,12 @@
     def __init__(
         self,
         scenario: Scenario,
-        ingress: int,
+        ingress_number: int,
         requests_per_s: float,
         rng: random.Random,
         on_request: Callable[[DrawnRequest], None],
     ) -> None:
-        self._mix = RequestMix(scenario, ingress, rng)
+        self._mix = RequestMix(scenario, ingress_number, rng)
         self._requests_per_s = requests_per_s
         self._rng = rng
         self._on_request = on_request
--- a/scale/standins/backend_queue.py
+++ b/scale/standins/backend_queue.py
@@ -36,7 +36,7 @@
         self._rng = rng
         self._free_at = 0.0  # monotonic time at which the last accepted request will have left the queue
 
-    def start_cold(self, started_at: float) -> None:
+    def begin_cold_start(self, started_at: float) -> None:
         """Begin a cold start at a Unix time, and forget the load of the one before."""
         self.started_at = started_at
         self.cold_units = {}
--- a/scale/standins/backends.py
+++ b/scale/standins/backends.py
@@ -54,9 +54,9 @@
         address: Address = self._server.sockets[0].getsockname()[:2]
         return address
 
-    def start_cold(self, started_at: float) -> None:
+    def begin_cold_start(self, started_at: float) -> None:
         """Begin a cold start at a Unix time."""
-        self.queue.start_cold(started_at)
+        self.queue.begin_cold_start(started_at)
 
     def set_silent(self, is_silent: bool) -> None:
         """Set whether the backend is silent.
--- a/scale/standins/clients.py
+++ b/scale/standins/clients.py
@@ -17,20 +17,20 @@
 ANSWER_SLACK_S = 2.0  # time after its deadline at which an unanswered request counts as lost
 
 
-class Client:
-    """All clients of one real ingress."""
+class IngressClients:
+    """Simulates all clients of one real ingress."""
 
-    def __init__(self, scenario: Scenario, ingress: int, address: Address, seed: int) -> None:
+    def __init__(self, scenario: Scenario, ingress_number: int, address: Address, seed: int) -> None:
         self.measures = ClientMeasures()
         # Whether the ingress restarts after its process was killed.  Requests that lose their connection
         # meanwhile count as cut, not as lost.
         self.is_restarting = False
-        self._ingress = ingress
+        self._ingress_number = ingress_number
         self._address = address
         self._loop = asyncio.get_running_loop()
         self._rng = random.Random(seed)
         rate = scenario.sizes.real_requests_per_s
-        self._arrivals = Arrivals(scenario, ingress, rate, self._rng, self._start_request)
+        self._arrivals = Arrivals(scenario, ingress_number, rate, self._rng, self._start_request)
         self._idle_connections: list[ClientConnection] = []
         self._open_requests: dict[bytes, PendingRequest] = {}  # by id
         self._drained = asyncio.Event()  # set when the last open request has ended
@@ -70,7 +70,7 @@
     def _start_request(self, drawn_request: DrawnRequest) -> None:
         counts = self.measures.counts
         counts.requests += 1
-        request_id = b"%04x%012x" % (self._ingress, counts.requests)
+        request_id = b"%04x%012x" % (self._ingress_number, counts.requests)
         idempotency_key = b"%016x" % self._rng.getrandbits(64)
         now = time.monotonic()
         command = encode_command(drawn_request, request_id, idempotency_key)
--- a/scale/standins/traffic.py
+++ b/scale/standins/traffic.py
@@ -31,15 +31,17 @@
     A tenant's plan and the ingresses that serve it depend only on the number of the tenant.
     """
 
-    def __init__(self, scenario: Scenario, ingress: int, rng: random.Random) -> None:
+    def __init__(self, scenario: Scenario, ingress_number: int, rng: random.Random) -> None:
         self.scenario = scenario
-        self.ingress = ingress
+        self.ingress_number = ingress_number
         self.rng = rng
         self.ingress_count = scenario.sizes.ingresses
         self.tenant_count = scenario.sizes.tenants
         self.max_spread = max(plan.spread for plan in scenario.plans)
         self._cumulative_plan_shares = list(accumulate(plan.share for plan in scenario.plans))
-        self._cumulative_class_shares = list(accumulate(cls.share for cls in scenario.classes))
+        self._cumulative_class_shares = list(
+            accumulate(request_class.share for request_class in scenario.classes)
+        )
 
     def get_plan(self, tenant: int) -> PlanModel:
         """Return the plan of a tenant.
@@ -57,7 +59,7 @@
         """Draw the next request; all tenants that this ingress serves are equally likely."""
         while True:
             offset = self.rng.randrange(self.max_spread)
-            first_ingress = (self.ingress - offset) % self.ingress_count
+            first_ingress = (self.ingress_number - offset) % self.ingress_count
             tenant = first_ingress + self.ingress_count * self.rng.randrange(
                 self._count_tenants(first_ingress)
             )
--- a/tests/scale/standins/test_agent.py
+++ b/tests/scale/standins/test_agent.py
@@ -1,4 +1,4 @@
-"""The stand-in of the discovery agent: long polls, complete lists, and an agent that is down."""
+"""Tests of the stand-in of the discovery agent: long polls, complete lists, and an agent that is down."""
 
 from __future__ import annotations
 
@@ -41,7 +41,7 @@
         assert complete_list["full"]
         assert [row["id"] for row in complete_list["servers"]] == ["b1", "b2"]
         call = asyncio.create_task(call_agent(stream, f"?after={complete_list['version']}&wait_ms=60000"))
-        await wait_until(lambda: any(c.is_call_pending for c in agent.connections))
+        await wait_until(lambda: any(connection.is_call_pending for connection in agent.connections))
         agent.publish(make_entry("b2", state="draining"))
         update = await call
         assert not update["full"]
@@ -79,7 +79,7 @@
     assert json.loads(registry.encode_response_body(after))["full"]
 
 
-def test_calls_with_the_same_version_share_one_encoded_answer() -> None:
+def test_calls_with_the_same_version_share_one_encoded_response() -> None:
     registry = Registry([make_entry("b1")])
     registry.publish([make_entry("b2")])
     assert registry.encode_response_body(1) is registry.encode_response_body(1)
@@ -96,7 +96,7 @@
         assert await call_agent(stream) == 503
         agent.set_mode(AgentMode.SILENT)
         call = asyncio.create_task(call_agent(stream))
-        await wait_until(lambda: any(c.is_call_pending for c in agent.connections))
+        await wait_until(lambda: any(connection.is_call_pending for connection in agent.connections))
         agent.publish(make_entry("b2"))
         assert not call.done()
         agent.set_mode(AgentMode.UP)
--- a/tests/scale/standins/test_arrivals.py
+++ b/tests/scale/standins/test_arrivals.py
@@ -1,4 +1,4 @@
-"""The stream of requests that arrive at one ingress."""
+"""Tests of the stream of requests that arrive at one ingress."""
 
 from __future__ import annotations
 
--- a/tests/scale/standins/test_backends.py
+++ b/tests/scale/standins/test_backends.py
@@ -1,4 +1,4 @@
-"""The stand-ins of the backends: replies, the queue, silence, and the load counted during a cold start."""
+"""Tests of the backend stand-ins: replies, the queue, silence, and the load during a cold start."""
 
 from __future__ import annotations
 
@@ -67,7 +67,7 @@
         client = await RespClient.connect(await backend.listen())
         await client.send_and_read_reply(make_command("00000000000000aa"))
         assert not backend.queue.cold_units
-        backend.start_cold(time.time())
+        backend.begin_cold_start(time.time())
         await client.send_and_read_reply(make_command("00000000000000bb"))
         assert sum(backend.queue.cold_units.values()) == 1
         assert backend.queue.calculate_capacity(backend.queue.started_at) == pytest.approx(200)
--- a/tests/scale/standins/test_clients.py
+++ b/tests/scale/standins/test_clients.py
@@ -1,4 +1,4 @@
-"""The clients of real ingresses: how each answer is counted, and how closed connections are handled."""
+"""Tests of the clients of real ingresses: counts of their answers, and closed connections."""
 
 from __future__ import annotations
 
@@ -6,7 +6,7 @@
 
 import pytest
 
-from scale.standins.clients import Client, ping
+from scale.standins.clients import IngressClients, ping
 from tests.scale.standins.scenarios import small_scenario
 from tests.support.peers import (
     Reader,
@@ -42,12 +42,12 @@
 
     async def body() -> None:
         async with ScriptedServer(serve_connection) as peer:
-            client = Client(small_scenario(requests_per_s=1000.0), 1, peer.address, seed=1)
-            client.start()
-            await wait_until(lambda: client.measures.counts.requests)
-            client.stop()
-            await wait_until(lambda: not client.has_open_requests)
-            assert getattr(client.measures.counts, outcome) == client.measures.counts.requests
+            clients = IngressClients(small_scenario(requests_per_s=1000.0), 1, peer.address, seed=1)
+            clients.start()
+            await wait_until(lambda: clients.measures.counts.requests)
+            clients.stop()
+            await wait_until(lambda: not clients.has_open_requests)
+            assert getattr(clients.measures.counts, outcome) == clients.measures.counts.requests
 
     run_async_test(body())
 
@@ -60,11 +60,11 @@
 
     async def body() -> None:
         async with ScriptedServer(serve_connection) as peer:
-            client = Client(small_scenario(requests_per_s=1000.0), 1, peer.address, seed=1)
-            client.start()
-            await wait_until(lambda: client.measures.counts.duplicated)
-            client.stop()
-            assert client.measures.counts.served
+            clients = IngressClients(small_scenario(requests_per_s=1000.0), 1, peer.address, seed=1)
+            clients.start()
+            await wait_until(lambda: clients.measures.counts.duplicated)
+            clients.stop()
+            assert clients.measures.counts.served
 
     run_async_test(body())
 
@@ -80,14 +80,14 @@
 
     async def body() -> None:
         async with ScriptedServer(serve_connection) as peer:
-            client = Client(small_scenario(requests_per_s=200.0), 1, peer.address, seed=1)
-            client.start()
-            await wait_until(lambda: client.measures.counts.served >= 10)
-            await client.finish(5.0)
+            clients = IngressClients(small_scenario(requests_per_s=200.0), 1, peer.address, seed=1)
+            clients.start()
+            await wait_until(lambda: clients.measures.counts.served >= 10)
+            await clients.finish(5.0)
             assert peer.ended_connection_count >= 1
-            assert (client.measures.counts.lost, client.measures.counts.served) == (
+            assert (clients.measures.counts.lost, clients.measures.counts.served) == (
                 0,
-                client.measures.counts.requests,
+                clients.measures.counts.requests,
             )
 
     run_async_test(body())
--- a/tests/scale/standins/test_counter.py
+++ b/tests/scale/standins/test_counter.py
@@ -1,4 +1,4 @@
-"""The stand-in of the counter: totals by name, bounded queues, and malformed calls."""
+"""Tests of the stand-in of the counter: totals by name, bounded queues, and malformed calls."""
 
 from __future__ import annotations
 
--- a/tests/scale/standins/test_traffic.py
+++ b/tests/scale/standins/test_traffic.py
@@ -1,4 +1,4 @@
-"""The mix of requests that reach one ingress."""
+"""Tests of the mix of requests that reach one ingress."""
 
 from __future__ import annotations
 
--- a/tests/scale/test_cold.py
+++ b/tests/scale/test_cold.py
@@ -1,4 +1,4 @@
-"""Cold starts: windows and their budgets, and what fleets of decision modules send to cold backends."""
+"""Tests of cold starts: windows and their budgets, and the requests that fleets send to cold backends."""
 
 from __future__ import annotations
 
@@ -61,7 +61,7 @@
     job = SMALL_FLEET_JOB.model_copy(update=changes)
     record = Fleet(job).simulate()
     measured = measure_window_usage(job, list(record.arrivals_from_informed.values()))
-    assert measured.windows >= 5  # cold backends get requests
+    assert measured.windows >= 5  # cold backends receive requests
     assert measured.beyond_chance == 0
 
 
--- a/tests/scale/test_hollow.py
+++ b/tests/scale/test_hollow.py
@@ -1,4 +1,4 @@
-"""Hollow ingresses: each request gets one final answer, and changes of the endpoint list are acted on."""
+"""Tests of hollow ingresses: each request gets one final answer, and list changes are acted on."""
 
 from __future__ import annotations
 
@@ -98,7 +98,7 @@
         worker.start_load()
         await wait_until(
             lambda: worker.state.counts["requests"] >= 20
-            and any(c.is_call_pending for c in agent.connections)
+            and any(connection.is_call_pending for connection in agent.connections)
         )
         agent.publish(NEW_ENTRY)
         await wait_until(lambda: worker.ingresses[0].incarnation.acted)
--- a/tests/scale/test_schedule.py
+++ b/tests/scale/test_schedule.py
@@ -10,7 +10,7 @@
     for at, item in ((2.0, "late"), (1.0, "first"), (1.0, "second")):
         schedule.add(at, item)
     due = [schedule.pop() for _ in range(3)]
-    assert [(each.at, each.item) for each in due] == [(1.0, "first"), (1.0, "second"), (2.0, "late")]
+    assert [(each.due_at, each.item) for each in due] == [(1.0, "first"), (1.0, "second"), (2.0, "late")]
 
 
 def test_schedule_tells_whether_an_item_is_due_before_a_time() -> None:
