--- a/scale/experiment/change_delays.py
+++ b/scale/experiment/change_delays.py
@@ -83,7 +83,7 @@
 
 
 def change_measures(delays: ChangeDelays, prefix: str = "") -> dict[str, float]:
-    """Return the measures of the delays, each name with the prefix."""
+    """Return the measures of the delays by name; `prefix` is put before each name."""
     measures = {
         "change_missing": float(delays.missing_count),
         "change_in_force_4s_share": delays.in_force_share,
--- a/scale/experiment/cold_load.py
+++ b/scale/experiment/cold_load.py
@@ -34,7 +34,7 @@
 
 
 def merge_cold_units(units_by_worker: Iterable[dict[str, dict[int, float]]]) -> dict[str, dict[int, float]]:
-    """Return the sums of the units that the processes have counted."""
+    """Return the units by start and window, summed over all processes."""
     merged: dict[str, dict[int, float]] = {}
     for worker_units in units_by_worker:
         for key, windows in worker_units.items():
--- a/scale/experiment/fleet.py
+++ b/scale/experiment/fleet.py
@@ -10,7 +10,7 @@
 from scale.scenario import Scenario
 from scale.standins.registry import Entry, State
 
-UNUSED_ADDRESS: Address = ("127.0.0.1", 9)  # listed for backends if no ingress connects to them
+UNUSED_ADDRESS: Address = ("127.0.0.1", 9)  # of backends that no ingress connects to
 BACKEND_KIND = "std"
 CELL_SIZE = 4  # backends in one cell
 
--- a/scale/hollow/setup.py
+++ b/scale/hollow/setup.py
@@ -8,7 +8,7 @@
 from scale.addresses import Address
 from scale.experiment.world import WorkerState
 
-# Differences between the seeds of two consecutive ingresses, and of two consecutive incarnations of an ingress.
+# Differences between the seeds of consecutive ingresses, and of consecutive incarnations of one ingress.
 SEED_STEP = 104_729
 INCARNATION_SEED_STEP = 15_485_863
 
--- a/scale/report/fits.py
+++ b/scale/report/fits.py
@@ -79,12 +79,12 @@
 
     @property
     def is_growing(self) -> bool:
-        """Tell whether the line rises over the measured sizes by more than the share FLAT_GROWTH."""
+        """Return whether the line rises over the measured sizes by more than the share FLAT_GROWTH."""
         return self.line.slope * (self.sizes[-1] - self.sizes[0]) > FLAT_GROWTH * max(self.costs)
 
     @property
     def is_varying(self) -> bool:
-        """Tell whether the measured costs differ by more than the share FLAT_GROWTH of the highest."""
+        """Return whether the measured costs differ by more than the share FLAT_GROWTH of the highest."""
         return max(self.costs) - min(self.costs) > FLAT_GROWTH * max(map(abs, self.costs))
 
     def estimate(self, size: float) -> Estimate:
@@ -105,7 +105,7 @@
         return self._cost_by_fit(self.better_fit, size)
 
     def _cost_by_fit(self, fit: Line | PowerLaw, size: float) -> float:
-        """Return a fit's cost at a size; of a falling line, at least the lowest measured cost."""
+        """Return the cost at a size by one fit; a falling line gives at least the lowest measured cost."""
         is_falling = isinstance(fit, Line) and fit.slope < 0
         return max(fit.cost_at(size), min(self.costs)) if is_falling else fit.cost_at(size)
 
@@ -116,8 +116,8 @@
             return crossing
         if not self.is_growing:
             return None
-        sizes = [fit.size_for(cost) for fit in (self.line, self.power) if fit is not None]
-        sizes_beyond = [size for size in sizes if size is not None and size > self.sizes[-1]]
+        fitted_sizes = [fit.size_for(cost) for fit in (self.line, self.power) if fit is not None]
+        sizes_beyond = [size for size in fitted_sizes if size is not None and size > self.sizes[-1]]
         chosen_size = self.better_fit.size_for(cost)
         if chosen_size is None or chosen_size <= self.sizes[-1]:
             chosen_size = sizes_beyond[0] if sizes_beyond else None
--- a/scale/report/limit.py
+++ b/scale/report/limit.py
@@ -31,7 +31,7 @@
 
     @property
     def is_past_target(self) -> bool:
-        """Tell whether the limit is reached only past the full size, or never."""
+        """Return whether the limit is reached only past the full size, or never."""
         return self.size is None or (self.size.mark is not Mark.MISSING and self.share_of_target > 1.0)
 
     def format_cells(self) -> list[str]:
--- a/scale/report/versions.py
+++ b/scale/report/versions.py
@@ -1,4 +1,4 @@
-"""Select the runs that the page shows: of sweeps the oldest and the newest commit, else the newest only."""
+"""Select the runs that the page shows: sweeps on two commits, and the newest scenarios and cold starts."""
 
 from __future__ import annotations
 
@@ -110,13 +110,13 @@
     groups: dict[tuple[str, str], list[SavedResult]] = {}
     for saved in saved_results:
         groups.setdefault((saved.result.kind, saved.result.name), []).append(saved)
-    sweeps, scenarios, cold = {}, {}, None
+    sweeps, scenarios, cold_starts = {}, {}, None
     for (kind, name), group in sorted(groups.items()):
         runs = _select_newest_runs(group, order)
         if kind == "run":
             scenarios[name] = runs[-1]
         elif kind == "cold":
-            cold = runs[-1]
+            cold_starts = runs[-1]
         else:
             sweeps[name] = Sweep(name, runs[-1], runs[0] if len(runs) > 1 else None)
-    return SelectedRuns(sweeps, scenarios, cold)
+    return SelectedRuns(sweeps, scenarios, cold_starts)
--- a/scale/scenario.py
+++ b/scale/scenario.py
@@ -52,8 +52,8 @@
     queue_s: Positive = 1.0  # longest wait in the queue; the backend rejects requests beyond that
     cold_s: Positive = 10.0  # time from a start until the backend is warm
     cold_share: Share = 0.2  # share of the capacity that a backend has when it starts
-    fall_factor: Positive = 2.5  # multiple of its present capacity at which load overloads a cold backend
-    fall_s: Positive = 2.0  # time over which the load for `fall_factor` is counted
+    fall_factor: Positive = 2.5  # load that overloads a cold backend, in multiples of its capacity
+    fall_s: Positive = 2.0  # time over which this load has to last for an overload
     drain_s: Positive = 1.0  # time from the start of a drain until the backend leaves the endpoint list
     keepalive_s: Positive = 30.0  # time after which an idle connection is closed
 
--- a/scale/slopes/job.py
+++ b/scale/slopes/job.py
@@ -79,7 +79,7 @@
     cpu_budget_s: float = Field(default=4.0, gt=0)
     """The CPU budget of the `times` pass; the limits of its phases are multiples of it."""
     warm_up_requests: int = Field(default=400, ge=1)
-    """Requests before the measurement, so that the concurrency limits of backends grow to the load."""
+    """Requests before the measurement, so that the concurrency limits of used backends grow to the load."""
     operation_samples: int = Field(default=100, ge=1)
     """The maximum number of requests whose function calls are counted."""
     measured_s: float = Field(default=6.0, gt=0)
--- a/scale/slopes/tenants.py
+++ b/scale/slopes/tenants.py
@@ -18,7 +18,7 @@
 MAX_QUOTA_SHARE = 0.9
 OVER_QUOTA_PERIOD = 25  # every 25th tenant requests more than its quota
 OVER_QUOTA_OFFSET = 12  # number of the first tenant that requests more than its quota
-OVER_QUOTA_SHARE = 2.0  # share of its quota that such a tenant requests: twice the quota
+OVER_QUOTA_SHARE = 2.0  # share of its quota that each of these tenants requests: twice the quota
 
 
 @dataclass(frozen=True, slots=True)
--- a/scale/standins/agent.py
+++ b/scale/standins/agent.py
@@ -194,7 +194,7 @@
         )
 
     def record_acted_version(self, group: str, version: int) -> None:
-        """Record that an ingress has acted on a version, as it asks for the changes after that version."""
+        """Record that an ingress has acted on a version: its call asks for the changes after that version."""
         acted_versions = self.acted_versions[group]
         if not acted_versions or acted_versions[-1][0] != version:
             acted_versions.append((version, time.monotonic()))
--- a/scale/standins/client_connection.py
+++ b/scale/standins/client_connection.py
@@ -23,7 +23,7 @@
         """Handle data that is not RESP2; the caller then aborts the connection."""
 
     def on_connection_lost(self, connection: ClientConnection) -> None:
-        """Handle the end of a connection; a request still in flight on it gets no answer there."""
+        """Handle the end of a connection; a request in flight on it remains unanswered."""
 
 
 class ClientConnection(asyncio.Protocol):
