--- a/scale/report/roles/control_machines.py
+++ b/scale/report/roles/control_machines.py
@@ -11,8 +11,8 @@
 from scale.report.targets import SECONDS_PER_DAY, TARGETS
 
 AGENTS_PER_MACHINE = model.agents_per_machine(TARGETS.ingresses, TARGETS.control_machines)
-# Starts of ingresses per second.  On an ordinary day, they are the ingresses' part of all restarts; in the worst
-# minute, a release restarts a tenth of all ingresses.
+# Starts of ingresses per second.  On an ordinary day, they are the ingresses' part of all restarts; in the
+# worst minute, a release restarts a tenth of all ingresses.
 DAY_STARTS_PER_S = (
     TARGETS.restarts_per_day * TARGETS.ingresses / (TARGETS.ingresses + TARGETS.backends) / SECONDS_PER_DAY
 )
