--- a/scale/experiment/child.py
+++ b/scale/experiment/child.py
@@ -16,12 +16,12 @@
 from scale.experiment.messages import FROM_CHILD, Failed, Message
 from scale.experiment.pipe import MAX_LINE_BYTES
 
-EXIT_TIMEOUT_S = 2.0  # for a child to exit once its pipe is closed
+EXIT_TIMEOUT_S = 2.0  # time for a child to exit after its pipe was closed
 M = TypeVar("M", bound=Message)
 
 
 class ChildFailedError(ScaleError):
-    """A child process has failed or does not answer in time."""
+    """A child process has failed, has sent an unexpected message or is late with one."""
 
 
 class Child:
@@ -58,31 +58,33 @@
         except (ConnectionError, RuntimeError):
             raise ChildFailedError(f"{self.name}: exited early") from None
 
-    async def receive(self, kind: type[M], timeout_s: float) -> M:
+    async def receive(self, message_class: type[M], timeout_s: float) -> M:
         """Return the child's next message; raise ChildFailedError if it is late or of another class."""
         assert self.process.stdout is not None
         try:
             line = await asyncio.wait_for(self.process.stdout.readline(), timeout_s)
         except TimeoutError:
-            raise ChildFailedError(f"{self.name}: no {kind.__name__} within {timeout_s:g} s") from None
+            raise ChildFailedError(
+                f"{self.name}: no {message_class.__name__} within {timeout_s:g} s"
+            ) from None
         if not line:
-            raise ChildFailedError(f"{self.name}: exited without sending {kind.__name__}")
+            raise ChildFailedError(f"{self.name}: exited without sending {message_class.__name__}")
         message = FROM_CHILD.validate_json(line)
         if isinstance(message, Failed):
             raise ChildFailedError(f"{self.name}: {message.text}")
-        if not isinstance(message, kind):
-            raise ChildFailedError(f"{self.name}: sent {message.kind} instead of {kind.__name__}")
+        if not isinstance(message, message_class):
+            raise ChildFailedError(f"{self.name}: sent {message.kind} instead of {message_class.__name__}")
         return message
 
     def measure_cpu_s(self) -> float:
-        """Return the CPU seconds used so far, or 0 once the process has exited."""
+        """Return the CPU seconds used so far, or 0 if the process has exited."""
         with contextlib.suppress(psutil.Error):
             times = self.monitor.cpu_times()
             return float(times.user + times.system)
         return 0.0
 
     def measure_resident_bytes(self) -> int:
-        """Return the resident memory, or 0 once the process has exited."""
+        """Return the resident memory in bytes, or 0 if the process has exited."""
         with contextlib.suppress(psutil.Error):
             return int(self.monitor.memory_info().rss)
         return 0
--- a/scale/slopes/simulation.py
+++ b/scale/slopes/simulation.py
@@ -1,4 +1,4 @@
-"""Simulates the surroundings of one decision module on a simulated clock."""
+"""Simulates the clients, the backends and the counter of one decision module on a simulated clock."""
 
 from __future__ import annotations
 
@@ -25,8 +25,8 @@
 from scale.slopes.meters import Meter
 from scale.slopes.traffic import Arrival
 
-BACKEND_LATENCY_S = 0.1  # time from an attempt to the answer of its backend
-MAX_DRAIN_S = 10.0  # simulated time after which draining ends with requests still open
+BACKEND_LATENCY_S = 0.1  # time from an attempt to the reply of its backend
+MAX_DRAIN_S = 10.0  # simulated time after which `drain` ends, even if requests are still open
 BuildChange: TypeAlias = Callable[[float], EndpointUpdate]  # takes the simulated time (s)
 ScheduledItem: TypeAlias = Event | Arrival | BuildChange
 
@@ -65,7 +65,7 @@
         self.now = max(self.now, end)
 
     def drain(self) -> None:
-        """Stop the arrivals, and handle events until each request has its final answer."""
+        """Stop the arrivals, and handle events until no request is open or MAX_DRAIN_S have passed."""
         self._arrivals = None
         ends_at = self.now + MAX_DRAIN_S
         self.run(lambda: not self.ledger.open_requests or self.now > ends_at)
@@ -80,17 +80,17 @@
             self._schedule.add(arrival.arrives_at, arrival)
 
     def _handle_next(self) -> None:
-        due = self._schedule.pop()
-        self.now = max(self.now, due.at)
-        if isinstance(due.item, Arrival):
+        scheduled = self._schedule.pop()
+        self.now = max(self.now, scheduled.due_at)
+        if isinstance(scheduled.item, Arrival):
             if self._arrivals is not None:
-                self._handle(due.item.request)
+                self._handle(scheduled.item.request)
                 self._schedule_next_arrival()
-        elif callable(due.item):
-            self._handle(due.item(self.now))
-            self._schedule.add(self.now + self._change_interval_s, due.item)
+        elif callable(scheduled.item):
+            self._handle(scheduled.item(self.now))
+            self._schedule.add(self.now + self._change_interval_s, scheduled.item)
         else:
-            self._handle(due.item)
+            self._handle(scheduled.item)
 
     def _handle(self, event: Event) -> None:
         if isinstance(event, Request):
--- a/scale/standins/traffic.py
+++ b/scale/standins/traffic.py
@@ -21,7 +21,7 @@
     plan: PlanModel
     tenant_key: str
     first_ingress: int
-    """The number of the first ingress that serves the tenant; the others have the numbers after it."""
+    """The first of the `plan.spread` consecutive ingresses that serve the tenant."""
     units: int
 
 
@@ -31,15 +31,17 @@
     A tenant's plan and the ingresses that serve it depend only on the number of the tenant.
     """
 
-    def __init__(self, scenario: Scenario, ingress: int, rng: random.Random) -> None:
+    def __init__(self, scenario: Scenario, ingress_number: int, rng: random.Random) -> None:
         self.scenario = scenario
-        self.ingress = ingress
+        self.ingress_number = ingress_number
         self.rng = rng
         self.ingress_count = scenario.sizes.ingresses
         self.tenant_count = scenario.sizes.tenants
         self.max_spread = max(plan.spread for plan in scenario.plans)
         self._cumulative_plan_shares = list(accumulate(plan.share for plan in scenario.plans))
-        self._cumulative_class_shares = list(accumulate(cls.share for cls in scenario.classes))
+        self._cumulative_class_shares = list(
+            accumulate(request_class.share for request_class in scenario.classes)
+        )
 
     def get_plan(self, tenant: int) -> PlanModel:
         """Return the plan of a tenant.
@@ -57,12 +59,12 @@
         """Draw the next request; all tenants that this ingress serves are equally likely."""
         while True:
             offset = self.rng.randrange(self.max_spread)
-            first_ingress = (self.ingress - offset) % self.ingress_count
+            first_ingress = (self.ingress_number - offset) % self.ingress_count
             tenant = first_ingress + self.ingress_count * self.rng.randrange(
                 self._count_tenants(first_ingress)
             )
             plan = self.get_plan(tenant)
-            # Otherwise the plan does not spread the tenant as far as this ingress: draw again.
+            # Draw again if the spread of the tenant's plan does not reach as far as this ingress.
             if offset < plan.spread:
                 break
         position = self.rng.random() * self._cumulative_class_shares[-1]
