--- a/ingress/decisions/hash_ring.py
+++ b/ingress/decisions/hash_ring.py
@@ -1,4 +1,4 @@
-"""A consistent hash ring: names sorted by a hash that every gateway computes alike."""
+"""A consistent hash ring: names sorted by a hash that is the same in every gateway."""
 
 from array import array
 from bisect import bisect_left
@@ -9,8 +9,8 @@
 HASH_MASK = 0xFFFFFFFF  # 32 bits
 
 
-def ring_hashes(name: str) -> tuple[int, int]:
-    """Return two hashes of a name, one for each of two rings, whose orders of names are unrelated."""
+def compute_ring_hashes(name: str) -> tuple[int, int]:
+    """Return two hashes of a name, for two rings on which the names are in unrelated orders."""
     first = crc32(name.encode())
     return first, first * KNUTH_MULTIPLIER & HASH_MASK
 
@@ -18,7 +18,7 @@
 class HashRing:
     """Names sorted by hash.
 
-    To insert or remove one name costs a binary search and a move of the arrays' tails.
+    Inserting or removing one name costs a binary search and a move of the arrays' tails.
     """
 
     def __init__(self) -> None:
@@ -27,7 +27,7 @@
         self.names: list[str] = []
         """The name at each index of `hashes`; names with equal hashes are sorted by name."""
 
-    def index_of(self, hash_value: int, name: str) -> int:
+    def find_index(self, hash_value: int, name: str) -> int:
         """Return the index of the name, or the index at which it would be inserted."""
         index = bisect_left(self.hashes, hash_value)
         while index < len(self.hashes) and self.hashes[index] == hash_value and self.names[index] < name:
@@ -39,7 +39,7 @@
         if len(removed) + len(added) > MAX_SINGLE_CHANGES:
             self._rebuild(removed, added)
         else:
-            self._change_singly(removed, added)
+            self._change_one_by_one(removed, added)
 
     def _rebuild(self, removed: dict[str, int], added: dict[str, int]) -> None:
         kept = (entry for entry in zip(self.hashes, self.names, strict=True) if entry[1] not in removed)
@@ -47,18 +47,18 @@
         self.hashes = array("L", [hash_value for hash_value, _ in entries])
         self.names = [name for _, name in entries]
 
-    def _change_singly(self, removed: dict[str, int], added: dict[str, int]) -> None:
+    def _change_one_by_one(self, removed: dict[str, int], added: dict[str, int]) -> None:
         for name, hash_value in removed.items():
-            index = self.index_of(hash_value, name)
+            index = self.find_index(hash_value, name)
             del self.hashes[index]
             del self.names[index]
         for name, hash_value in added.items():
-            index = self.index_of(hash_value, name)
+            index = self.find_index(hash_value, name)
             self.hashes.insert(index, hash_value)
             self.names.insert(index, name)
 
-    def names_from(self, start: int, count: int) -> list[str]:
-        """Return up to `count` names from index `start` on, each once, wrapping around the end."""
+    def list_names_from(self, start: int, count: int) -> list[str]:
+        """Return up to `count` different names from index `start` on, wrapping around the end."""
         count = min(count, len(self.names))
         until_end = self.names[start : start + count]
         return until_end + self.names[: count - len(until_end)]
--- a/ingress/discovery/watch.py
+++ b/ingress/discovery/watch.py
@@ -7,7 +7,7 @@
 import random
 from collections.abc import Awaitable, Callable
 
-from ingress.discovery.backoff import backoff_delay
+from ingress.discovery.backoff import draw_backoff_delay
 from ingress.discovery.client import ClientFactory, DiscoveryClient
 from ingress.discovery.endpoint_list import EndpointList, decode_endpoint_list
 from ingress.discovery.errors import DiscoveryUnavailableError, InvalidEndpointListError
@@ -18,7 +18,7 @@
 
 log = logging.getLogger(__name__)
 
-# Answers up to this size are accepted whatever the memory limit: about 30,000 backends.
+# Responses up to this size (about 30,000 backends) are accepted whatever the memory limit is.
 DEFAULT_MAX_BODY_BYTES = 4 * 1024 * 1024
 # A failure is logged only if the number of consecutive failures before it is one of these.
 LOGGED_FAILURE_COUNTS = (0, 10, 100, 1000)
@@ -44,7 +44,7 @@
         """Make a watch that does not call the agent before `run`.
 
         `version` is the version of the list that is held at the start; with None, the first call asks for the
-        full list.  Answers may have `max_body_bytes` bytes, or DEFAULT_MAX_BODY_BYTES if that is more.
+        complete list.  Responses may have `max_body_bytes` bytes, or DEFAULT_MAX_BODY_BYTES if that is more.
         """
         self.version = version
         self._address = address
@@ -66,36 +66,36 @@
                 # Any exception is caught: if an error in decoding or in `on_update` ended the watch, the
                 # gateway would receive no further change.  The list that is held stays in use.
                 except Exception as error:  # noqa: BLE001
-                    self._record_failure(failure_count, error)
-                    await self._sleep(backoff_delay(failure_count, error, self._timing, self._rng))
+                    self._handle_failure(failure_count, error)
+                    await self._sleep(draw_backoff_delay(failure_count, error, self._timing, self._rng))
                     failure_count += 1
 
-    def _record_failure(self, failure_count: int, error: Exception) -> None:
+    def _handle_failure(self, failure_count: int, error: Exception) -> None:
         if failure_count in LOGGED_FAILURE_COUNTS:
             log.warning("discovery poll failed error=%s reason=%s", type(error).__name__, error)
-        # The full list is the most expensive answer for discovery, so the watch asks for it only if the list
-        # held here may be wrong.
+        # The complete list is the most expensive response for discovery, so the watch asks for it only if the
+        # held list may be wrong.
         if not isinstance(error, DiscoveryUnavailableError):
             self.version = None
 
     async def _poll(self, client: DiscoveryClient, *, is_retry: bool) -> None:
-        query, timeout_s = self._next_call(is_retry)
+        query, timeout_s = self._choose_next_call(is_retry)
         # The body may be long.  No variable refers to it, so that its memory is freed before the update is
         # handled.
         update = await decode_endpoint_list(await client.fetch(query, timeout_s, self._max_body_bytes))
         # A restarted agent may count its versions from the start again; its changes then don't apply to the
-        # list held here.
-        if not update.is_full and (self.version is None or update.version < self.version):
+        # held list.
+        if not update.is_complete and (self.version is None or update.version < self.version):
             raise InvalidEndpointListError(
                 f"changes of version {update.version} do not follow version {self.version}"
             )
         self.version = update.version
-        if update.is_full:
+        if update.is_complete:
             self._on_update(EndpointUpdateKind.REPLACE, update)
         elif update.backends:
             self._on_update(EndpointUpdateKind.UPDATE, update)
 
-    def _next_call(self, is_retry: bool) -> tuple[str, float]:
+    def _choose_next_call(self, is_retry: bool) -> tuple[str, float]:
         """Return the query of the next call and its timeout in seconds."""
         if self.version is None:
             return "", self._timing.poll_timeout_s
--- a/ingress/gossip_codec.py
+++ b/ingress/gossip_codec.py
@@ -1,8 +1,8 @@
 """Encode and decode the gossip messages in which gateways report their customers' usage to each other.
 
-A message is a line of text.  It holds the time at which the sender's process started (Unix ms) and, for each
-customer, the hash of its key and the running total of its usage since then, in tenths of a unit, for example
-`1733115600123 5be2a07c:40 1f03aa5c:125`.
+A message is a line of text, for example `1733115600123 5be2a07c:40 1f03aa5c:125`.  It holds the time at which
+the sender's process started (Unix ms) and, for each customer, the hash of the customer's key and the running
+total of the customer's usage since then, in tenths of a unit.
 """
 
 from __future__ import annotations
@@ -25,7 +25,7 @@
     """Pairs of a customer's hash and the units that the customer has used since the process started."""
 
 
-class FormattedReport(NamedTuple):
+class EncodedReport(NamedTuple):
     """An encoded message."""
 
     text: str
@@ -33,18 +33,20 @@
     """Number of totals that the text holds."""
 
 
-def parse_report(text: str) -> UseReport | None:
+def decode_report(text: str) -> UseReport | None:
     """Decode a message; return None if it is malformed."""
     try:
         incarnation, *items = text.split()
         pairs = [item.split(":") for item in items]
-        totals = tuple((int(customer, 16), int(total) / TENTHS_PER_UNIT) for customer, total in pairs)
+        totals = tuple(
+            (int(customer_hash, 16), int(total) / TENTHS_PER_UNIT) for customer_hash, total in pairs
+        )
         return UseReport(int(incarnation), totals)
     except ValueError:
         return None
 
 
-def format_report(incarnation: int, totals: Iterable[tuple[int, float]]) -> FormattedReport:
+def encode_report(incarnation: int, totals: Iterable[tuple[int, float]]) -> EncodedReport:
     """Encode as many of the totals, in the given order, as fit into one message.
 
     `incarnation` is the time at which this process started, in Unix milliseconds.  Each total is a pair of a
@@ -58,4 +60,4 @@
             break
         text += item
         included_count += 1
-    return FormattedReport(text, included_count)
+    return EncodedReport(text, included_count)
--- a/scale/environment.py
+++ b/scale/environment.py
@@ -14,8 +14,8 @@
 from scale.project import PACKAGE, check_project
 from scale.results import Environment
 
-BUSY_SHARE = 0.05  # of a core; a process that uses more than this counts as busy
-MIN_SPAN_S = 0.05  # lower bound, because CPU shares over a shorter span are not meaningful
+BUSY_SHARE = 0.05  # share of a core; a process that uses more counts as busy
+MIN_SPAN_S = 0.05  # shorter spans count as this long: CPU shares over them are not meaningful
 GIB = 2**30
 UNKNOWN_COMMIT = "unknown"
 
@@ -71,11 +71,11 @@
         out.
         """
         span_s = max(time.monotonic() - self._started_at, MIN_SPAN_S)
-        own_ids = _own_process_ids()
+        own_process_ids = _own_process_ids()
         shares = [
             (cpu_s - self._cpu_before.get(process, 0.0)) / span_s
             for process, cpu_s in _cpu_seconds_by_process().items()
-            if process[0] not in own_ids
+            if process[0] not in own_process_ids
         ]
         busy_shares = [share for share in shares if share > BUSY_SHARE]
         return Environment(
--- a/scale/experiment/change_delays.py
+++ b/scale/experiment/change_delays.py
@@ -17,7 +17,7 @@
 class ChangeDelays:
     """The delays of all changes at all ingresses."""
 
-    delays: list[float]  # s
+    delays: list[float]  # in seconds
     missing_count: int  # pairs of a change and an ingress that did not act on it
     in_force_share: float  # share of the changes that all ingresses acted on in time
 
@@ -26,7 +26,7 @@
 class _SingleChangeDelays:
     """The delays of one change at all ingresses."""
 
-    delays: list[float] = field(default_factory=list)  # s
+    delays: list[float] = field(default_factory=list)  # in seconds
     missing_count: int = 0
 
     @property
@@ -35,19 +35,22 @@
 
 
 def measure_change_delays(
-    published: Iterable[PublishedChange], incarnations: Sequence[Incarnation], observed_until: float
+    published_changes: Iterable[PublishedChange], incarnations: Sequence[Incarnation], observed_until: float
 ) -> ChangeDelays:
     """Return the delays of all published changes at all incarnations of the ingresses.
 
-    An incarnation counts for a change if it runs when the change is published.  One that ended before it
-    acted on the change is left out; one that still ran at `observed_until` without having acted is missing.
+    A change is expected at each incarnation that runs when the change is published.  An incarnation that ends
+    without having acted on the change is left out, unless it still ran at `observed_until`: then the pair
+    counts as missing.
     """
-    changes = [_measure_delays_of(change, incarnations, observed_until) for change in published]
-    in_time_count = sum(change.is_in_time for change in changes)
+    delays_by_change = [
+        _measure_delays_of(change, incarnations, observed_until) for change in published_changes
+    ]
+    in_time_count = sum(change.is_in_time for change in delays_by_change)
     return ChangeDelays(
-        delays=[delay for change in changes for delay in change.delays],
-        missing_count=sum(change.missing_count for change in changes),
-        in_force_share=in_time_count / len(changes) if changes else 1.0,
+        delays=[delay for change in delays_by_change for delay in change.delays],
+        missing_count=sum(change.missing_count for change in delays_by_change),
+        in_force_share=in_time_count / len(delays_by_change) if delays_by_change else 1.0,
     )
 
 
@@ -70,13 +73,17 @@
 def _find_acted_at(incarnation: Incarnation, change: PublishedChange) -> float | None:
     """Return when an ingress first acted on a change or on a later one, or None if it never did."""
     return next(
-        (at for version, at in incarnation.acted if version >= change.version and at >= change.published_at),
+        (
+            acted_at
+            for version, acted_at in incarnation.acted
+            if version >= change.version and acted_at >= change.published_at
+        ),
         None,
     )
 
 
 def change_measures(delays: ChangeDelays, prefix: str = "") -> dict[str, float]:
-    """Return the measures of the delays, each name with the prefix."""
+    """Return the measures of the delays by name; `prefix` is put before each name."""
     measures = {
         "change_missing": float(delays.missing_count),
         "change_in_force_4s_share": delays.in_force_share,
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -18,8 +18,8 @@
     encode_resp_array,
     make_command,
     make_endpoint_entry,
+    make_scripted_backend,
     run_async_test,
-    scripted_backend,
 )
 from tests.support.process import find_free_port, listening_process
 
@@ -45,7 +45,7 @@
 
 
 def agent_with_list(endpoint_list: bytes, port: int) -> ScriptedServer:
-    """Return a discovery agent that answers with the endpoint list first, and then with no change."""
+    """Return a discovery agent whose first answer is the endpoint list and whose later ones are empty."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
@@ -64,7 +64,10 @@
 
 
 async def request_until_served(address: Address, counter_peer: ScriptedServer) -> None:
-    """Send requests until one is served, which needs the endpoint list, and the counter has been called."""
+    """Send requests until a backend has answered one and the counter has been called.
+
+    A backend can answer only once the ingress has fetched the endpoint list.
+    """
     customer = 0
     answers = set[bytes | str]()
     while b"00000000000000aa" not in answers or not counter_peer.received_commands:
@@ -76,7 +79,7 @@
 
 
 async def ping_on_new_connection(address: Address) -> None:
-    """Open a connection and wait for the answer to a PING."""
+    """Open a connection and wait for the reply to a PING."""
     assert (
         await (await RespClient.connect(address)).send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
     )
@@ -91,7 +94,7 @@
     async def body() -> None:
         agent_address = ("127.0.0.1", find_free_port())
         async with (
-            scripted_backend() as backend_peer,
+            make_scripted_backend() as backend_peer,
             echoing_counter() as counter_peer,
             listening_process(
                 tmp_path,
