--- a/ingress/decisions/__init__.py
+++ b/ingress/decisions/__init__.py
@@ -5,13 +5,13 @@
 
 The parts work together as follows, by event:
 
-- `Request`: `RequestIntake` finds the `Customer` through `Admission` and builds a `PendingRequest`. If the
+- `Request`: `RequestIntake` finds the `Customer` through `Admission` and builds a `PendingRequest`.  If the
   customer's slice of the quota is low, `UsageCounter` asks the shared counter, and the request waits in
-  `Customer.requests_awaiting_counter`; otherwise `RequestDecision` decides on it directly. `RequestDecision`
+  `Customer.requests_awaiting_counter`; otherwise `RequestDecision` decides on it directly.  `RequestDecision`
   checks the customer's limits with `Admission` and compares the share of requests to shed
-  (`OverloadDetector`) with the request's rank among recent ones (`RequestRanking`). If the request is
+  (`OverloadDetector`) with the request's rank among recent ones (`RequestRanking`).  If the request is
   admitted, `LoadBalancer` chooses a `TrackedBackend`, and `AttemptTracker` charges the limits and sends the
-  attempt. If not, `FinalAnswers` finishes the request.
+  attempt.  If not, or if no backend may get the attempt, `FinalAnswers` finishes the request.
 - `AttemptEnded`: `AttemptOutcomeHandler` removes the attempt from `AttemptTracker`.  `OutcomeRecorder`
   updates the backend, `AnswerTimes` and `SlowStart`.  After a failure, either `RetryPolicy` permits a retry
   or `FinalAnswers` finishes the request.
--- a/ingress/decisions/attempts.py
+++ b/ingress/decisions/attempts.py
@@ -42,20 +42,20 @@
         self.sink = sink
         self.in_flight: dict[AttemptKey, InFlightAttempt] = {}
 
-    def send_attempt(self, now: float, request: PendingRequest, explore: bool = False) -> bool:
+    def send_attempt(self, now: float, request: PendingRequest, is_exploratory: bool = False) -> bool:
         """Send one more attempt of `request`; return False if no backend may receive the attempt.
 
-        With `explore` the attempt goes to a backend outside of the subset, to find out whether an overload is
-        limited to the subset.
+        With `is_exploratory` the attempt goes to a backend outside of the subset, to find out whether an
+        overload is limited to the subset.
         """
-        backend = self.balancer.choose_backend(request, now, explore)
+        backend = self.balancer.choose_backend(request, now, is_exploratory)
         if backend is None:
             return False
         if not request.is_sent:
             self._charge_first_attempt(now, request)
         max_write_delay = request.max_write_delay(now)
         key = self._record_sent_attempt(now, request, backend)
-        if explore:
+        if is_exploratory:
             self.overload_detector.exploratory_attempt = key
         timeout = max(self.retry_policy.attempt_timeout(now, request), MIN_TIMEOUT_S)
         self.sink.emit(api.SendAttempt(request.id, backend.entry.id, timeout, max_write_delay))
--- a/ingress/decisions/backend.py
+++ b/ingress/decisions/backend.py
@@ -10,7 +10,7 @@
 from ingress.decisions.token_bucket import TokenBucket
 
 CROSS_ZONE_FACTOR = 1.1  # multiplies the load score of backends in other zones, as a tie-break
-MIN_RELATIVE_LATENCY = 0.2  # lower bound of a backend's latency over the mean, in the load score
+MIN_RELATIVE_LATENCY = 0.2  # of the mean answer time: in the load score no backend counts as faster
 SILENCE_PER_RELATIVE_LATENCY = 3.0  # mean answer times; this silence counts as a relative latency of 1
 RELATIVE_LATENCY_HALF_LIFE = 3  # longest latency objectives after which the effect of past answers is halved
 MIN_DIVISOR = 1e-6  # replaces a mean answer time or a weight of 0, to prevent a division by zero
@@ -131,7 +131,10 @@
         self.ejection.mark_suspect()
 
     def is_ejected(self, now: float) -> bool:
-        """Return whether the backend may get no attempt now, because of earlier failures or rejections."""
+        """Return whether the backend may get no attempt now, because of earlier failures or rejections.
+
+        After a pause for failures, the backend gets one attempt at a time until one succeeds.
+        """
         return self.ejection.is_ejected(now, bool(self.attempts_in_flight))
 
     def get_silence_duration(self, now: float) -> float:
--- a/ingress/decisions/balancer.py
+++ b/ingress/decisions/balancer.py
@@ -11,13 +11,19 @@
 from ingress.decisions.slow_start import SlowStart
 from ingress.decisions.subset import Subsetting
 
-STALL_FACTOR = 4.0  # a backend that answers no attempt for this many mean answer times has stalled
+# A backend with attempts in flight that answers none for more than this many mean answer times of the slowest
+# class counts as stalled.
+STALL_FACTOR = 4.0
 MIN_HEALTHY_SHARE = 0.5  # of the usable backends; if fewer are healthy, ejection is suspended (panic mode)
-SUBSET_ATTEMPTS = 2  # first attempts of a request; later ones prefer the reserve, as the subset may be down
+# First attempts of a request, which prefer the subset.  Later ones prefer the reserve, as the subset may be
+# down.
+SUBSET_ATTEMPTS = 2
 MAX_COMPARED = 32  # backends of the subset or the reserve that are compared for one attempt
 MAX_FALLBACK_COMPARED = 256  # candidates that are compared if none of the first sample has room
 MAX_SAMPLED_READY = 16  # ready backends that are compared if no candidate has room
-DECREASE_INTERVAL_SHARE = 0.25  # of the longest latency objective; interval for limits of silent backends
+# Share of the longest latency objective: the shortest time between two decreases of the limit of a backend
+# that answers nothing.
+DECREASE_INTERVAL_SHARE = 0.25
 
 
 class LoadBalancer:
@@ -102,7 +108,7 @@
     ) -> TrackedBackend | None:
         """Return the backend for one more attempt, or None if no backend that was compared has room.
 
-        The choice is made from the subset (for later attempts, the reserve), else from all candidates, else
+        The choice is made from the subset (for later attempts, the reserve), else from the candidates, else
         from a random sample of all ready backends.  An exploratory attempt goes to an idle backend of the
         reserve, to find out whether an overload extends beyond the subset.
         """
@@ -171,7 +177,8 @@
                 continue
             if skips_tried and backend_id in tried_ids:
                 continue
-            # Answers decrease the limit of an overloaded backend, but such a backend may not answer at all.
+            # An overloaded backend may answer nothing, so that no answer would decrease its limit.  A long
+            # silence therefore decreases the limit too.
             if backend.get_silence_duration(now) > self.longest_objective:
                 backend.decrease_limit(now, DECREASE_INTERVAL_SHARE * self.longest_objective)
             if len(backend.attempts_in_flight) < backend.concurrency_limit.limit:
--- a/ingress/decisions/ceiling.py
+++ b/ingress/decisions/ceiling.py
@@ -18,7 +18,9 @@
     count_name: int
     """Name of the count that the reply is for."""
     known_since: float
-    """Time in seconds when the count or this process started, whichever was later."""
+    """Time in seconds when the count or this process started, whichever was later.
+
+    Since then, this gateway knows all use in the count."""
     peer_units: float
     """Units that the other gateways have added to the count."""
     peer_units_increase: float
--- a/ingress/decisions/correction_lease.py
+++ b/ingress/decisions/correction_lease.py
@@ -15,8 +15,9 @@
 from ingress.decisions.counter_calls import CounterCalls
 from ingress.decisions.customer import Customer
 
-# Bursts by which a level may be outside the bucket's range without a correction: the minimum applies at a
-# sampling rate of 1, the maximum at low sampling rates.
+# Slack of the bucket's range, in bursts: the minimum applies at a sampling rate of 1, the maximum at low
+# sampling rates.  Without a correction, a level may be below the range by half of the slack, and above it by
+# twice the slack.
 MIN_SLACK_BURSTS = 0.1
 MAX_SLACK_BURSTS = 0.25
 # Time for which a debt must last before it is corrected, and lifetime of a lease, both in counter timeouts.
--- a/ingress/decisions/count_sampling.py
+++ b/ingress/decisions/count_sampling.py
@@ -31,7 +31,7 @@
 
     def __init__(self, settings: api.Settings, rng: random.Random) -> None:
         self.counter_timeout = settings.counter_timeout
-        """Seconds after which a call to the counter is abandoned."""
+        """Seconds after which a call to the counter is given up."""
         self.rng = rng
         """Random number generator for the choice of the sampled requests."""
         self.rate = INITIAL_SAMPLING_RATE
@@ -113,7 +113,10 @@
             self.rate = min(1.0, self.rate + SAMPLING_RATE_INCREASE)
 
     def record_failure(self, now: float) -> None:
-        """Lower the rate after a failed call: the gateways may send more calls than the counter can serve."""
+        """Lower the rate after a failed call.
+
+        All gateways together may send more calls than the counter can serve.
+        """
         # Calls that were in flight together also fail together, so they lower the rate only once.
         if now - self.rate_decreased_at > self.counter_timeout:
             self.rate = max(MIN_SAMPLING_RATE, self.rate * (1 - SAMPLING_RATE_DECREASE))
--- a/ingress/decisions/outlier_ejection.py
+++ b/ingress/decisions/outlier_ejection.py
@@ -8,7 +8,8 @@
 import ingress.interface as api
 
 FAILURES_TO_EJECT = 3  # consecutive errors or timeouts
-REJECTIONS_TO_EJECT = 2  # consecutive rejections by a backend that is not busy: it is probably draining
+# Consecutive rejections by a backend that is not busy: it is probably draining, or full for all gateways.
+REJECTIONS_TO_EJECT = 2
 FAILURE_PAUSE_SHARE = 0.5  # of the longest latency objective: the first pause after failures
 REJECTION_PAUSE_SHARE = 0.25  # of the longest latency objective: the pause after a first rejection
 MAX_FAILURE_DOUBLINGS = 4  # maximum number of doublings of the pause after failures
--- a/ingress/decisions/request_decision.py
+++ b/ingress/decisions/request_decision.py
@@ -52,9 +52,9 @@
         is_shed = shed_share > self.request_ranking.rank_request(request)
         # The overload may be limited to the subset, so one request at a time is sent outside of it instead of
         # being shed.
-        explore = is_shed and self.overload_detector.exploratory_attempt is None
-        is_admitted = is_within_limits and (not is_shed or explore)
-        if not is_admitted or not self.attempt_tracker.send_attempt(now, request, explore):
+        is_exploratory = is_shed and self.overload_detector.exploratory_attempt is None
+        is_admitted = is_within_limits and (not is_shed or is_exploratory)
+        if not is_admitted or not self.attempt_tracker.send_attempt(now, request, is_exploratory):
             self.final_answers.finish_request(request)
 
     def _is_within_limits(self, now: float, request: PendingRequest, shed_share: float) -> bool:
--- a/ingress/decisions/request_intake.py
+++ b/ingress/decisions/request_intake.py
@@ -38,7 +38,7 @@
         """Remaining time (s) of the latest request that was not marked as a retry, by request class."""
 
     def receive_request(self, now: float, event: api.Request) -> None:
-        """Accept a request and decide on it, immediately or after a reply of the shared counter."""
+        """Receive a request and decide on it, immediately or after a reply of the shared counter."""
         request = self._create_pending_request(now, event)
         if request.is_too_late and not request.request_class.late_weight_share:
             self.final_answers.finish_request(request)
@@ -76,8 +76,8 @@
         """Return whether the request has to wait for a reply of the counter; call the counter if needed."""
         if not request.plan.rate or not self.admission.needs_counter(now, request):
             return False
-        is_ceiling_short = self.admission.is_ceiling_slice_short(now, request)
-        return self.counter.request_total(now, request.customer, request, is_ceiling_short)
+        is_ceiling_slice_short = self.admission.is_ceiling_slice_short(now, request)
+        return self.counter.request_total(now, request.customer, request, is_ceiling_slice_short)
 
     def cancel_request(self, _now: float, event: api.RequestCancelled) -> None:
         """Drop a request whose client has left or has its answer."""
--- a/ingress/decisions/slow_start.py
+++ b/ingress/decisions/slow_start.py
@@ -4,7 +4,7 @@
 from ingress.decisions.backend import TrackedBackend
 from ingress.decisions.candidate_set import CandidateSet
 
-SAFE_LOAD_SHARE = 0.7  # of the load at which a warming-up backend fails; all gateways together send this much
+SAFE_LOAD_SHARE = 0.7  # of the load at which a backend that is warming up fails; for all gateways together
 MIN_WARM_SHARE = 0.5  # of the candidates' weight; if a smaller share is warm, the last measured rate is kept
 RATE_WINDOW_SHARE = 0.25  # of the slow start's duration: the window over which answers are counted
 MIN_RATE_WINDOW_S = 1.0  # lower bound of the window if the slow start is short
@@ -62,7 +62,8 @@
         if warm_weight >= max(
             MIN_DIVISOR, MIN_WARM_SHARE * sum(candidate.entry.weight for candidate in candidates)
         ):
-            # The answer rate covers all ready backends, but the weight is known of the candidates only.
+            # The answers come from all ready backends, of which the candidates are a sample.  The weight of
+            # the warm candidates is therefore scaled up.
             ready_per_candidate = len(self.candidate_set.ready_backends) / len(candidates)
             self.warm_rate_per_weight = self.answer_rate / (warm_weight * ready_per_candidate)
 
--- a/ingress/decisions/subset.py
+++ b/ingress/decisions/subset.py
@@ -13,9 +13,8 @@
 from ingress.decisions.hash_ring import HashRing, compute_ring_hashes
 
 SUBSET_SIZE = 12  # backends: few enough to observe each of them often, enough to tolerate the loss of some
-MIN_GATEWAYS_PER_BACKEND = (
-    2  # mean number of gateways that prefer a backend; subsets grow if there are few gateways
-)
+# Lower bound of the mean number of gateways that prefer a backend; subsets grow if there are few gateways.
+MIN_GATEWAYS_PER_BACKEND = 2
 RESERVE_SIZE = 244  # further candidates, used when the subset is full or down
 
 
@@ -38,7 +37,7 @@
         return self.slot_by_gateway[gateway] * len(self.backends.names) // self.gateway_count
 
     def find_gateways_starting_at(self, index: int) -> list[int]:
-        """Return the indexes of the gateways whose first backend is the one at `index`."""
+        """Return the indices of the gateways whose first backend is the one at `index`."""
         backend_count = len(self.backends.names)
         # A slot starts at `index` if slot * backend_count // gateway_count == index; -(-a // b) rounds up.
         first_slot, end_slot = (
@@ -151,19 +150,19 @@
         first, second = self.rings
         backend_count = len(self.backend_ids)
         gateways: set[int] = set()
-        passed_indexes: list[int] = []  # on the first ring, of the backends from `start` to before `index`
+        passed_indices: list[int] = []  # on the first ring, of the backends from `start` to before `index`
         for distance in range(first_size + second_size):
             start = (index - distance) % backend_count
             for gateway in second.find_gateways_starting_at(start):
                 first_start = first.find_first_backend_index(gateway)
                 skipped_count = sum(
                     (passed_index - first_start) % backend_count < first_size
-                    for passed_index in passed_indexes
+                    for passed_index in passed_indices
                 )
                 if distance - skipped_count < second_size:
                     gateways.add(gateway)
             preceding_id = second.backends.names[start - 1]
-            passed_indexes.append(
+            passed_indices.append(
                 first.backends.find_index(compute_ring_hashes(preceding_id)[0], preceding_id)
             )
         return gateways
--- a/ingress/decisions/timers.py
+++ b/ingress/decisions/timers.py
@@ -63,7 +63,7 @@
         self.gossip = gossip
         self.sink = sink
         self.tick_period = report_period(settings)
-        """Seconds between two ticks."""
+        """Seconds between two ticks, that is, firings of the timer for the periodic work."""
         self.last_eviction_at = 0.0
         """Time of the last eviction of idle customers (s)."""
         self.is_discovery_retry_set = False
--- a/ingress/interface/endpoints.py
+++ b/ingress/interface/endpoints.py
@@ -14,7 +14,7 @@
     DRAINING = "draining"
     """The backend completes the attempts that it has received and accepts no new ones."""
     REMOVED = "gone"
-    """The backend no longer belongs to the fleet."""
+    """The backend no longer exists."""
 
 
 class EndpointUpdateKind(Enum):
--- a/ingress/interface/events.py
+++ b/ingress/interface/events.py
@@ -28,7 +28,7 @@
     CANCELLED = "cancelled"
     """This gateway cancelled the attempt."""
     SUPERSEDED = "moot"
-    """The attempt was not sent: it was no longer needed, or the host could not send it in time."""
+    """The attempt was not sent: it was no longer needed, or the host could not send it, or not in time."""
 
     @property
     def proves_not_executed(self) -> bool:
--- a/ingress/simulator/adapter.py
+++ b/ingress/simulator/adapter.py
@@ -53,8 +53,8 @@
                 continue
             try:
                 replies.extend(self._execute(now, command.instance, command))
-            # Any exception here is a bug in the decision module.  The simulator stops and prints the report
-            # of the bug.
+            # Any exception here is a bug in the decision module.  The protocol has a message to report it, on
+            # which the simulator stops and prints the reason.
             except Exception as error:  # noqa: BLE001
                 reason = f"{type(error).__name__}: {error} at {now} on {message['m']}"
                 replies.append(encode_fault(command.instance, reason))
