--- a/ingress/counter/client.py
+++ b/ingress/counter/client.py
@@ -51,7 +51,7 @@
         self.is_closed = False
 
     def increment(self, name: int, amount: float, lifetime_s: float) -> None:
-        """Add the amount to the count `name`, which the counter deletes after `lifetime_s`.
+        """Add the amount to the count `name`; if this creates the count, it is deleted after `lifetime_s`.
 
         Pass the outcome to `on_reply`, also if the counter does not reply.
         """
@@ -183,7 +183,7 @@
     def on_reply_line(self, call: CounterCall, line: bytes) -> bool:
         """Report the reply; return whether it is valid, so that its connection can still be used.
 
-        After a malformed reply, the counter may or may not have added the amount.
+        A malformed reply is reported as a timeout, since the counter may or may not have added the amount.
         """
         try:
             reply = parse_reply_line(line)
@@ -205,7 +205,7 @@
     ) -> None:
         """Remove the connection and report its unanswered calls as timed out.
 
-        The counter may have executed them.
+        They are not reported as failed, since the counter may have executed them.
         """
         if connection in self.connections:
             self.connections.remove(connection)
--- a/ingress/counter/connection.py
+++ b/ingress/counter/connection.py
@@ -1,4 +1,4 @@
-"""One connection to the shared counter: calls are pipelined, and replies arrive in the order of the calls."""
+"""One connection to the shared counter: calls are pipelined, and matched to their replies by order."""
 
 from __future__ import annotations
 
--- a/ingress/discovery/endpoint_entry.py
+++ b/ingress/discovery/endpoint_entry.py
@@ -49,7 +49,7 @@
 
 
 def to_backend(entry: EndpointEntry) -> Backend:
-    """Return the backend that a checked entry describes; equal values share one object."""
+    """Return the backend that a checked entry describes; values that many entries have share one object."""
     return Backend(
         entry.id,
         sys.intern(entry.zone or ""),
--- a/ingress/discovery/endpoint_list.py
+++ b/ingress/discovery/endpoint_list.py
@@ -20,12 +20,12 @@
 MAX_LOGGED_ENTRIES = 50  # skipped entries of one list that are logged one by one
 MAX_LOGGED_REASON_CHARS = 200
 ENTRIES_PER_BATCH = 500  # decoded in about 5 ms, after which the event loop runs other callbacks
-# The longest list has MAX_ENTRIES entries of ENTRY_BYTES bytes each, if the memory limit allows that much.
+# A list of MAX_ENTRIES entries of ENTRY_BYTES bytes each is accepted if the memory limit allows that much.
 MAX_ENTRIES = 250_000
 ENTRY_BYTES = 130
-# Largest share of `max_buffered_bytes` (a sixth of the memory limit) that the body of one response may
-# take.  While a list is decoded, the list takes three times as much memory as its body, the previous list two
-# times as much, and the decision module's data on the backends six or seven times as much.
+# Largest share of `max_buffered_bytes` (a sixth of the memory that the program leaves free) that the body of
+# one response may take.  While a list is decoded, the list takes three times as much memory as its body, the
+# previous list two times as much, and the decision module's data on the backends six or seven times as much.
 MAX_BODY_SHARE = 3 / 8
 
 
--- a/ingress/discovery/http_connection.py
+++ b/ingress/discovery/http_connection.py
@@ -37,7 +37,7 @@
         return cls(reader, writer, f"{address[0]}:{address[1]}")
 
     def close(self) -> None:
-        """Abort the connection; unsent data is lost."""
+        """Abort the connection; data that was not sent or not read yet is lost."""
         self._writer.transport.abort()
 
     async def get(self, target: str, max_body_bytes: int) -> bytearray:
--- a/ingress/downstream/command_executor.py
+++ b/ingress/downstream/command_executor.py
@@ -22,7 +22,7 @@
     handler: RequestHandler
 
     def log_malformed_command(self, reason: str) -> None:
-        """Log a malformed command, or only count it if many have been logged."""
+        """Log a malformed command; once many have been logged, only a sample of them is."""
 
 
 class CommandExecutor:
@@ -36,7 +36,7 @@
         self._malformed_count = 0
 
     def is_malformed_limit_reached(self) -> bool:
-        """Return whether the connection must be closed, so that its client stops using up processing time."""
+        """Return whether the connection must be closed, so that its client takes no time from the others."""
         return self._malformed_count >= MAX_MALFORMED_COMMANDS
 
     def execute(self, reply: PendingReply, arguments: list[bytes], received_at: float) -> bytes | None:
--- a/ingress/downstream/commands.py
+++ b/ingress/downstream/commands.py
@@ -102,8 +102,8 @@
         units = self._parse_units(fields)
         if fields.get("r", "0") not in ("0", "1"):
             raise CommandError("bad number: r")
-        # The wait of a client may exceed the deadline of the class: a client that sends a request late counts
-        # its wait from the time at which it planned to send.
+        # The wait of a client may be up to twice the deadline of the class, because a client that sends a
+        # request late counts its wait from the time at which it should have sent.
         max_wait_ms = ceil(2 * request_class.deadline * 1000)
         return Command(
             arguments=arguments,
--- a/ingress/downstream/connection_owner.py
+++ b/ingress/downstream/connection_owner.py
@@ -39,4 +39,4 @@
         """Forget a connection whose file descriptor has been released."""
 
     def log_malformed_command(self, reason: str) -> None:
-        """Log a malformed command, or only count it if many have been logged."""
+        """Log a malformed command; once many have been logged, only a sample of them is."""
--- a/ingress/downstream/listener.py
+++ b/ingress/downstream/listener.py
@@ -23,7 +23,7 @@
 log = logging.getLogger(__name__)
 
 LISTEN_BACKLOG = 512  # connections that the kernel queues until they are accepted
-MAX_ACCEPTS_PER_CALLBACK = 16  # connections accepted in one batch
+MAX_ACCEPTS_PER_BATCH = 16  # connections accepted in one batch, and places kept free for them
 SWEEP_INTERVAL_S = 0.25  # between checks of the timeouts of all connections
 MAX_LOGGED_FAULTS = 50  # malformed commands or failed accepts that are logged one by one
 LOG_SAMPLE_INTERVAL = 1000  # only every 1000th of the later faults is logged, since clients may cause many
@@ -127,14 +127,14 @@
         self.drain_progress.set()
 
     def log_malformed_command(self, reason: str) -> None:
-        """Log a malformed command, or only count it if many have been logged."""
+        """Log a malformed command; once many have been logged, only a sample of them is."""
         self.malformed_command_log.warning("malformed command reason=%r", reason)
 
     # Accepting
 
     def _accept_batch(self) -> bool:
         """Accept a batch of connections; return whether more may be in the backlog."""
-        for _ in range(MAX_ACCEPTS_PER_CALLBACK):
+        for _ in range(MAX_ACCEPTS_PER_BATCH):
             if len(self.connections) >= self.max_connections:
                 # New connections wait until an open one has closed, so that file descriptors do not run out.
                 if not self.evicted:
@@ -162,10 +162,11 @@
         task = self.loop.create_task(self._attach_transport(connection, sock))
         self.accept_tasks.add(task)
         task.add_done_callback(self.accept_tasks.discard)
-        # Keep room for one batch of new connections, but for at most an eighth of `max_connections`.
+        # Keep room for one batch of new connections, but for at most an eighth of `max_connections`, and for
+        # at least one connection.
         unevicted_count = len(self.connections) - len(self.evicted)
         if unevicted_count > self.max_connections - max(
-            1, min(MAX_ACCEPTS_PER_CALLBACK, self.max_connections // 8)
+            1, min(MAX_ACCEPTS_PER_BATCH, self.max_connections // 8)
         ):
             self.evict_connection()
 
--- a/ingress/downstream/request_handler.py
+++ b/ingress/downstream/request_handler.py
@@ -35,7 +35,7 @@
     """The handler of the requests of all client connections."""
 
     def handle_request(self, reply: PendingReply, command: Command, received_at: float) -> None:
-        """Handle a request received at `received_at`; raise CommandError if it is invalid."""
+        """Handle a request received at `received_at`; raise CommandError if it cannot be accepted."""
 
     def on_client_disconnected(self, reply: PendingReply) -> None:
         """Cancel the request of an unanswered reply, since its client has disconnected."""
--- a/ingress/network/rate_limited_log.py
+++ b/ingress/network/rate_limited_log.py
@@ -11,7 +11,10 @@
     __slots__ = ("_count", "_every", "_first", "_logger")
 
     def __init__(self, logger: logging.Logger, first_count: int, sample_interval: int = 100) -> None:
-        """Log the first `first_count` faults, and of the later ones every `sample_interval`-th."""
+        """Log the first `first_count` faults, and of the later ones every multiple of `sample_interval`.
+
+        The faults are numbered from 1.
+        """
         self._logger = logger
         self._first = first_count
         self._every = sample_interval
--- a/ingress/process/configuration.py
+++ b/ingress/process/configuration.py
@@ -43,7 +43,7 @@
     backend_sockets: int
     """Maximum number of connections to backends."""
     known: EndpointList
-    """The endpoint list that is used until discovery supplies one."""
+    """The endpoint list to start with, which discovery then replaces or updates."""
     settings: Settings
     """Settings of the decision module."""
     connect_timeout_s: float
--- a/ingress/process/request_service.py
+++ b/ingress/process/request_service.py
@@ -45,8 +45,9 @@
         self.is_refusing_requests = False  # True at the end of the shutdown: no backend could answer in time
 
     def handle_request(self, reply: PendingReply, command: Command, received_at: float) -> None:
-        """Pass a request on to the decision module; answer BUSY if it is refused or too many are in flight.
+        """Pass a request on to the decision module, or answer BUSY.
 
+        The answer is BUSY while new requests are refused and while the requests in flight reach a limit.
         `received_at` is the time on the clock at which the command arrived.  Raise CommandError if the id
         belongs to a request that has not been answered.
         """
--- a/ingress/process/shutdown.py
+++ b/ingress/process/shutdown.py
@@ -1,4 +1,4 @@
-"""Graceful shutdown, which answers each request between SIGTERM and SIGKILL."""
+"""Graceful shutdown: after SIGTERM, each request gets its answer before SIGKILL may come."""
 
 from __future__ import annotations
 
--- a/ingress/upstream/attempt.py
+++ b/ingress/upstream/attempt.py
@@ -39,7 +39,7 @@
     has_ended: bool = False  # whether the outcome was reported
 
     def is_fully_written(self) -> bool:
-        """Return whether the operating system has the complete command, so that it may be executed."""
+        """Return whether the operating system has the complete command, so that it may have been executed."""
         return self.connection is not None and not self.connection.has_unsent_bytes
 
     def encode_command(self, now: float) -> bytes:
--- a/ingress/upstream/connection.py
+++ b/ingress/upstream/connection.py
@@ -121,7 +121,7 @@
         self.owner.on_reply(attempt, reply)
 
     def eof_received(self) -> None:
-        """Handle a connection whose backend has closed its side as lost."""
+        """Treat the connection as lost, since the backend has closed its side."""
         self.connection_lost(None)
 
     def connection_lost(self, exc: Exception | None) -> None:
--- a/ingress/upstream/idle.py
+++ b/ingress/upstream/idle.py
@@ -13,7 +13,7 @@
 
 
 class IdleConnections:
-    """The idle connections of a pool's endpoints, each of which is reused or closed."""
+    """The idle connections to all endpoints of a pool, which are reused or closed after a timeout."""
 
     def __init__(self, endpoint_table: EndpointTable, backend_idle_timeout_s: float) -> None:
         """Keep idle connections for IDLE_TIMEOUT_SHARE of the backends' own idle timeout."""
@@ -40,7 +40,10 @@
         return None
 
     def record_broken_connection(self, idle_s: float) -> None:
-        """Shorten the idle timeout after a connection broke that had been idle for `idle_s`.
+        """Shorten the idle timeout after a connection broke under the first attempt since it was idle.
+
+        `idle_s` is the time for which it had been idle before that attempt; a time below MIN_IDLE_TIMEOUT_S
+        has no effect.
 
         Some backends drop idle connections before their idle timeout.  The pool learns of this only when it
         writes the next command.
