--- a/scale/cold/__init__.py
+++ b/scale/cold/__init__.py
@@ -1,1 +1,1 @@
-"""Simulates fleets in which backends start cold, and counts the requests that the cold backends get."""
+"""Simulate fleets in which backends start cold, and count what each cold backend gets from all ingresses."""
--- a/scale/cold/windows.py
+++ b/scale/cold/windows.py
@@ -33,7 +33,8 @@
     """Return the highest number of requests in a window that random variation around its budget explains.
 
     The square root of the budget is the standard deviation of a Poisson distribution with that mean; the
-    limit is two standard deviations and 2 requests above the budget.
+    limit is two standard deviations and 2 requests above the budget.  More requests in a window
+    are taken to overload the backend.
     """
     return budget + 2 * sqrt(budget) + 2
 
--- a/scale/commands/cold.py
+++ b/scale/commands/cold.py
@@ -1,4 +1,4 @@
-"""`python -m scale cold`: count the requests that cold backends get, in fleets of several sizes."""
+"""`python -m scale cold`: compare what cold backends get with their budget, in fleets of several sizes."""
 
 from __future__ import annotations
 
@@ -91,7 +91,7 @@
 )
 @click.option("--note", default="", help="What else ran on the machine meanwhile.")
 def command(seed: int, out: Path, note: str) -> None:
-    """Count the requests that cold backends get with 3, 30 and 300 ingresses, lists in time and late."""
+    """Count what cold backends get in each window with 3, 30 and 300 ingresses, lists in time and late."""
     commit, dirty = read_commit(TOOL_ROOT)
     taken_at = now()
     started_at = time.monotonic()
--- a/scale/experiment/change_delays.py
+++ b/scale/experiment/change_delays.py
@@ -39,9 +39,9 @@
 ) -> ChangeDelays:
     """Return the delays of all published changes at all incarnations of the ingresses.
 
-    A change is expected at each incarnation that runs when the change is published.  An incarnation that ends
-    without having acted on the change is left out, unless it still ran at `observed_until`: then the pair
-    counts as missing.
+    A change is expected at each incarnation that runs when the change is published.  An incarnation that
+    ended before it acted on the change is left out.  One that ran until `observed_until` without acting on
+    the change counts as missing.
     """
     delays_by_change = [
         _measure_delays_of(change, incarnations, observed_until) for change in published_changes
--- a/scale/experiment/cold_load.py
+++ b/scale/experiment/cold_load.py
@@ -33,11 +33,11 @@
     return max_ratio
 
 
-def merge_cold_units(units_by_worker: Iterable[dict[str, dict[int, float]]]) -> dict[str, dict[int, float]]:
+def merge_cold_units(all_units: Iterable[dict[str, dict[int, float]]]) -> dict[str, dict[int, float]]:
     """Return the units by start and window, summed over all processes."""
     merged: dict[str, dict[int, float]] = {}
-    for worker_units in units_by_worker:
-        for key, windows in worker_units.items():
+    for process_units in all_units:
+        for key, windows in process_units.items():
             merged_windows = merged.setdefault(key, {})
             for window, units in windows.items():
                 merged_windows[window] = merged_windows.get(window, 0.0) + units
--- a/scale/experiment/launch.py
+++ b/scale/experiment/launch.py
@@ -1,4 +1,4 @@
-"""Start the parts of a run and register their clean-up with the run's exit stack."""
+"""Start the parts of a run; the run's exit stack ends them, even after a failure."""
 
 from __future__ import annotations
 
--- a/scale/experiment/memory_probe.py
+++ b/scale/experiment/memory_probe.py
@@ -17,7 +17,10 @@
 
 
 async def measure_hollow_bytes(scenario_path: Path) -> int:
-    """Return the bytes by which the process grows for each gateway with the scenario's endpoint list."""
+    """Return the bytes of one hollow ingress with the scenario's endpoint list.
+
+    These are the bytes by which the process grows for one more gateway with that list, and CONTROL_BYTES.
+    """
     from ingress.decisions import Gateway
     from ingress.settings_codec import decode_settings
     from scale.experiment.settings import ingress_settings, zone_name
--- a/scale/experiment/parts.py
+++ b/scale/experiment/parts.py
@@ -14,7 +14,7 @@
 
 @dataclass(slots=True)
 class RealIncarnation:
-    """One incarnation of a real ingress, from the start of its process to the end of that process."""
+    """One incarnation of a real ingress, from the time at which it serves to the SIGTERM that ends it."""
 
     ingress_number: int
     started_at: float  # monotonic clock
--- a/scale/experiment/samples.py
+++ b/scale/experiment/samples.py
@@ -53,7 +53,8 @@
 def control_measures(idle: Phase, load: Phase, hollow_count: int, real_count: int) -> dict[str, float]:
     """Return the measures of control traffic and of the CPU time that it takes.
 
-    The shares of control CPU come from the idle phase, in which no requests arrive.
+    The rates and `worker_cores` are those of the phase under load, except for the rates with the prefix
+    `idle_`.  The shares of control CPU come from the idle phase, in which no requests arrive.
     """
     return _traffic_measures(idle, load, hollow_count + real_count) | _cpu_measures(
         idle, load, hollow_count, real_count
--- a/scale/experiment/summary.py
+++ b/scale/experiment/summary.py
@@ -82,7 +82,7 @@
         )
     )
     if real_incarnations:
-        # Report real ingresses separately: hollow ones share a process, in which they delay each other.
+        # Report real ingresses separately: hollow ones share processes, in which they delay each other.
         measures |= change_measures(
             measure_change_delays(agent.published_changes, real_incarnations, record.observed_until), "real_"
         )
--- a/scale/hollow/control.py
+++ b/scale/hollow/control.py
@@ -20,7 +20,7 @@
 
 
 class ControlTraffic:
-    """Connects to the agent and the counter, and feeds their updates and replies to the decision module."""
+    """Connects to the agent and the counter over loopback; feeds what they send to the decision module."""
 
     def __init__(
         self,
--- a/scale/report/constants.py
+++ b/scale/report/constants.py
@@ -36,7 +36,7 @@
 def read_constants(root: Path) -> dict[str, Constant]:
     """Return all constants of the `ingress` package below `root`, by name.
 
-    If several files define the same name, the first file in path order wins.
+    If several files define the same name, the constant of the first file in path order is taken.
     """
     constants: dict[str, Constant] = {}
     for path in sorted((root / PACKAGE_FOLDER).rglob("*.py")):
--- a/scale/report/fits.py
+++ b/scale/report/fits.py
@@ -79,7 +79,7 @@
 
     @property
     def is_growing(self) -> bool:
-        """Return whether the line rises over the measured sizes by more than the share FLAT_GROWTH."""
+        """Return whether the line rises over all measured sizes by more than FLAT_GROWTH of the top cost."""
         return self.line.slope * (self.sizes[-1] - self.sizes[0]) > FLAT_GROWTH * max(self.costs)
 
     @property
--- a/scale/report/plots.py
+++ b/scale/report/plots.py
@@ -18,7 +18,7 @@
 
 COLUMN_COUNT = 2  # columns of plots in one figure
 PANEL_INCHES = (3.6, 2.5)  # width and height of one measure's plot
-MIN_LOG_SCALE_RATIO = 10.0  # ratio of the highest to the lowest cost up to which the cost axis is linear
+MIN_LOG_SCALE_RATIO = 10.0  # highest to lowest cost; up to this ratio the cost axis is linear, from 0
 COLORS = {"before": "#b3541e", "after": "#1f5f8b"}
 CURVE_POINTS = 40  # points at which a fitted curve is drawn
 STYLE: dict[Any, Any] = {
--- a/scale/report/tables.py
+++ b/scale/report/tables.py
@@ -70,7 +70,10 @@
 
 
 def describe_growth(growth: Growth | None) -> str:
-    """Return the better fit as short text: the exponent of a power law or the formula of a line, with r²."""
+    """Return the better fit as short text: the exponent of a power law or the formula of a line, with r².
+
+    A line whose measured costs hardly vary is shown as "level".
+    """
     if growth is None:
         return "not measured"
     better_fit: Line | PowerLaw = growth.better_fit
--- a/scale/scenario.py
+++ b/scale/scenario.py
@@ -52,7 +52,7 @@
     queue_s: Positive = 1.0  # longest wait in the queue; the backend rejects requests beyond that
     cold_s: Positive = 10.0  # time from a start until the backend is warm
     cold_share: Share = 0.2  # share of the capacity that a backend has when it starts
-    fall_factor: Positive = 2.5  # load that overloads a cold backend, in multiples of its capacity
+    fall_factor: Positive = 2.5  # load that overloads a cold backend, in multiples of its present capacity
     fall_s: Positive = 2.0  # time over which this load has to last for an overload
     drain_s: Positive = 1.0  # time from the start of a drain until the backend leaves the endpoint list
     keepalive_s: Positive = 30.0  # time after which an idle connection is closed
@@ -66,7 +66,7 @@
     aim_s: Positive  # latency objective
     deadline_s: Positive
     worth: Positive = 1.0  # priority weight
-    late_worth: NonNegative = 0.0  # share of the weight that an answer after the objective earns
+    late_worth: NonNegative = 0.0  # share of the weight of an answer between the objective and the deadline
     # Whether requests are idempotent, idempotent through a key, or not idempotent.
     semantics: Literal["safe", "keyed", "unsafe"] = "safe"
     dedup_window_s: NonNegative = 0.0  # time for which backends recognise an idempotency key
@@ -80,7 +80,7 @@
     rate: Positive  # quota, units a second
     burst: Positive  # units
     spread: Annotated[int, Field(ge=1)] = 1
-    excess_cost: NonNegative = 0.5  # share of its weight that a request beyond the quota costs
+    excess_cost: NonNegative = 0.5  # cost of a request beyond the quota, as a share of its weight
     ceiling_rate: NonNegative = 0.0  # units a second over all ingresses
     ceiling_burst: NonNegative = 0.0  # units
     ceiling_slack: NonNegative = 0.0  # units by which the ceiling may be exceeded
--- a/scale/slopes/__init__.py
+++ b/scale/slopes/__init__.py
@@ -1,1 +1,1 @@
-"""Sweeps: measures the decision module at many sizes of a fleet, in child processes."""
+"""Sweeps: measure the decision module alone, in child processes, at many sizes of a fleet."""
--- a/scale/slopes/ledger.py
+++ b/scale/slopes/ledger.py
@@ -65,7 +65,7 @@
         # By the name of a count: the id of the request that caused the call that is in flight for it.
         self._request_by_count: dict[int, str] = {}
 
-    def open_request(self, request: Request, now: float) -> None:
+    def record_arrival(self, request: Request, now: float) -> None:
         """Add a request that has just arrived."""
         self.open_requests[request.id] = OpenRequest(now, self.is_measuring)
         self.statistics.request_count += self.is_measuring
--- a/scale/slopes/passes/operations.py
+++ b/scale/slopes/passes/operations.py
@@ -18,7 +18,7 @@
 
 MAX_WARM_UP_CALLS = 150_000_000  # function calls; the limit shortens the warm-up at the largest sizes
 MAX_MEASURED_CALLS = 8_000_000  # function calls; the limit reduces the samples at the largest sizes
-MEASURED_CHANGES = 8
+MEASURED_CHANGES = 8  # changes of the endpoint list that are measured
 
 
 def measure_operations(job: Job) -> Measurement:
--- a/scale/slopes/passes/times.py
+++ b/scale/slopes/passes/times.py
@@ -28,7 +28,7 @@
 WARM_UP_BUDGET_FACTOR = 6.0
 REQUESTS_BUDGET_FACTOR = 0.7
 CHANGES_BUDGET_FACTOR = 0.25
-MAX_MEASURED_CHANGES = 40
+MAX_MEASURED_CHANGES = 40  # changes of the endpoint list
 
 
 def measure_times(job: Job) -> Measurement:
@@ -65,7 +65,11 @@
 
 
 def _measure_requests(world: World, simulation: Simulation) -> Measures:
-    """Measure requests while the endpoint list changes, both at the rates of the job."""
+    """Measure requests while the endpoint list changes, both at the rates of the job.
+
+    The measurement ends after `measured_s` of simulated time or when its part of the CPU budget is used up,
+    but not before MIN_SAMPLES requests have arrived.
+    """
     job = world.job
     world.start_requests(simulation)
     simulation.start_changes(world.build_next_change, job.sizes.changes_per_s)
--- a/scale/slopes/runner.py
+++ b/scale/slopes/runner.py
@@ -1,4 +1,4 @@
-"""Runs sweeps: each pass at each point in its own child process, one after another."""
+"""Run sweeps: each pass at each point in its own child process, one at a time; each sweep gives a result."""
 
 from __future__ import annotations
 
@@ -84,7 +84,8 @@
 def run_job(job: Job, project: Path) -> Measurement:
     """Run one pass in a child process, and return its measurement.
 
-    If the child fails, raise MeasuringChildError with the last line that it wrote to standard error.
+    Raise MeasuringChildError if the child exceeds its timeout, fails or prints no measurement.  The message
+    for a failure ends with the last line that the child wrote to standard error.
     """
     command = [sys.executable, "-P", "-m", "scale.slopes.measure"]
     timeout_s = max(MIN_TIMEOUT_S, TIMEOUT_BUDGETS * job.cpu_budget_s)
--- a/scale/slopes/simulation.py
+++ b/scale/slopes/simulation.py
@@ -28,7 +28,7 @@
 BACKEND_LATENCY_S = 0.1  # time from an attempt to the reply of its backend
 MAX_DRAIN_S = 10.0  # simulated time after which `drain` ends, even if requests are still open
 BuildChange: TypeAlias = Callable[[float], EndpointUpdate]  # takes the simulated time (s)
-ScheduledItem: TypeAlias = Event | Arrival | BuildChange
+SimulationItem: TypeAlias = Event | Arrival | BuildChange
 
 
 class Simulation:
@@ -39,7 +39,7 @@
         self.counter = counter
         self.now = start
         self.ledger = Ledger()
-        self._schedule: Schedule[ScheduledItem] = Schedule()
+        self._schedule: Schedule[SimulationItem] = Schedule()
         self._arrivals: Iterator[Arrival] | None = None
         self._change_interval_s = 0.0
 
@@ -94,7 +94,7 @@
 
     def _handle(self, event: Event) -> None:
         if isinstance(event, Request):
-            self.ledger.open_request(event, self.now)
+            self.ledger.record_arrival(event, self.now)
         actions = self.meter.handle(self.now, event)
         self.ledger.charge_cost(event, self.meter.last_cost)
         for action in actions:
--- a/scale/slopes/sweeps.py
+++ b/scale/slopes/sweeps.py
@@ -104,5 +104,5 @@
 
 
 def shorten_sweep(sweep: Sweep) -> Sweep:
-    """Return a sweep with only the first points, which are too few to fit a growth to."""
+    """Return a sweep with only the first points, for a quick look; fits need the whole sweep."""
     return Sweep(sweep.name, sweep.passes, sweep.sizes[:SHORT_SWEEP_POINTS])
