--- a/scale/slopes/sweeps.py
+++ b/scale/slopes/sweeps.py
@@ -1,4 +1,7 @@
-"""The sweeps: each changes one size of the fleet and keeps the others at a base value."""
+"""The sweeps: each changes one size of the fleet and keeps the others at a base value.
+
+The acceptance sweep changes two: the backends and the ingresses.
+"""
 
 from __future__ import annotations
 
@@ -15,7 +18,7 @@
 
 @dataclass(frozen=True, slots=True)
 class Sweep:
-    """The passes of a sweep and the sizes at which they run; the name says which size varies."""
+    """The passes of a sweep and the sizes at which they run; most names begin with the size that varies."""
 
     name: str
     passes: tuple[Pass, ...]
