--- a/scale/standins/backend_queue.py
+++ b/scale/standins/backend_queue.py
@@ -41,7 +41,7 @@
         self.started_at = started_at
         self.cold_units = {}
 
-    def calculate_capacity(self, unix_time: float) -> float:
+    def calculate_capacity_at(self, unix_time: float) -> float:
         """Return the units per second that the backend can serve at a Unix time."""
         return calculate_capacity(self._model, unix_time - self.started_at)
 
@@ -53,7 +53,7 @@
         begins_at = max(now, self._free_at)
         if begins_at - now > self._model.queue_s:
             return None
-        self._free_at = begins_at + units / self.calculate_capacity(unix_time)
+        self._free_at = begins_at + units / self.calculate_capacity_at(unix_time)
         log_median = math.log(self._model.latency_ms / 1000)
         latency_s = self._rng.lognormvariate(log_median, self._model.latency_sigma)
         return begins_at - now + latency_s
--- a/tests/scale/standins/test_backends.py
+++ b/tests/scale/standins/test_backends.py
@@ -70,8 +70,8 @@
         backend.begin_cold_start(time.time())
         await client.send_and_read_reply(make_command("00000000000000bb"))
         assert sum(backend.queue.cold_units.values()) == 1
-        assert backend.queue.calculate_capacity(backend.queue.started_at) == pytest.approx(200)
-        assert backend.queue.calculate_capacity(backend.queue.started_at + 10) == pytest.approx(1000)
+        assert backend.queue.calculate_capacity_at(backend.queue.started_at) == pytest.approx(200)
+        assert backend.queue.calculate_capacity_at(backend.queue.started_at + 10) == pytest.approx(1000)
         backend.close()
 
     run_async_test(body())
