--- a/tests/counter/test_client.py
+++ b/tests/counter/test_client.py
@@ -14,8 +14,8 @@
 def test_slow_call_does_not_delay_other_calls() -> None:
     """Guard against calls that wait behind a slow call.
 
-    Replies on one connection come in the order of the calls, so the calls after a slow one use another
-    connection.
+    Replies on one connection come in the order of the calls, so the calls after a slow one use further
+    connections, up to the limit.
     """
 
     async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
@@ -40,6 +40,8 @@
 
 
 def test_refused_connection_is_reported_as_connect_failed() -> None:
+    """The counter cannot have added the units, and the outcome must say so."""
+
     async def body() -> None:
         caller = CounterClientUnderTest(find_refusing_address())
         caller.start_call()
@@ -95,21 +97,23 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("answers", [True, False])
-def test_calls_after_a_change_of_address_go_to_the_new_address_while_old_calls_finish(answers: bool) -> None:
+@pytest.mark.parametrize("is_old_call_answered", [True, False])
+def test_calls_after_a_change_of_address_go_to_the_new_address_while_old_calls_finish(
+    is_old_call_answered: bool,
+) -> None:
     """The old connection closes after its last reply, or when its calls have timed out."""
     callers: list[CounterClientUnderTest] = []
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         old.received_commands.append([await reader.readline()])
         await wait_until(lambda: len(callers[0].replies) == 1)
-        if answers:
+        if is_old_call_answered:
             writer.write(b"ok 1\r\n")
         await reader.read()
 
     async def body() -> None:
         async with old, make_scripted_counter(b"ok 2\r\n") as new:
-            caller = CounterClientUnderTest(old.address, timeout_s=5.0 if answers else 0.5)
+            caller = CounterClientUnderTest(old.address, timeout_s=5.0 if is_old_call_answered else 0.5)
             callers.append(caller)
             caller.start_call(1)
             await wait_until(lambda: old.received_commands)
@@ -117,7 +121,7 @@
             caller.start_call(2)
             assert await caller.wait_for_reply() == (2, Outcome.OK, 2.0)
             assert await caller.wait_for_reply(2) == (
-                (1, Outcome.OK, 1.0) if answers else (1, Outcome.TIMEOUT, 0.0)
+                (1, Outcome.OK, 1.0) if is_old_call_answered else (1, Outcome.TIMEOUT, 0.0)
             )
             await wait_until(lambda: old.ended_connection_count)
             assert not caller.client.all_connect_tasks
@@ -156,17 +160,17 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("unsent", [0, 3])
-def test_connection_that_opens_after_the_client_was_closed_is_closed(unsent: int) -> None:
+@pytest.mark.parametrize("later_call_count", [0, 3])
+def test_connection_that_opens_after_the_client_was_closed_is_closed(later_call_count: int) -> None:
     async def body() -> None:
         async with make_scripted_counter(b"ok 1\r\n") as peer:
             caller = CounterClientUnderTest(peer.address, timeout_s=0.2)
             caller.start_call()
             caller.client.close()  # while the connection is being opened
-            for _ in range(unsent):
+            for _ in range(later_call_count):
                 caller.start_call()
             await wait_until(
-                lambda: len(caller.replies) == unsent + 1 and not caller.client.all_connect_tasks
+                lambda: len(caller.replies) == later_call_count + 1 and not caller.client.all_connect_tasks
             )
             assert {reply.outcome for reply in caller.replies} == {Outcome.CONNECT_FAILED}
             await wait_until(lambda: peer.ended_connection_count == peer.connection_count)
--- a/tests/counter/test_connection.py
+++ b/tests/counter/test_connection.py
@@ -22,19 +22,19 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "outcome", "total"),
+    ("reply", "outcome", "total"),
     [
         (b"ok 41.5\r\n", Outcome.OK, 41.5),
         (b"ok -3\r\n", Outcome.OK, -3.0),
         (b"busy\r\n", Outcome.REJECTED, 0.0),
         (b"error\r\n", Outcome.REJECTED, 0.0),
         (b"ok 1.5e+03\r\n", Outcome.OK, 1500.0),
-        *((answer, Outcome.TIMEOUT, 0.0) for answer in MALFORMED_REPLIES),
+        *((reply, Outcome.TIMEOUT, 0.0) for reply in MALFORMED_REPLIES),
     ],
 )
-def test_reply_is_reported_with_its_outcome_and_total(answer: bytes, outcome: Outcome, total: float) -> None:
+def test_reply_is_reported_with_its_outcome_and_total(reply: bytes, outcome: Outcome, total: float) -> None:
     async def body() -> None:
-        async with make_scripted_counter(answer) as peer:
+        async with make_scripted_counter(reply) as peer:
             caller = CounterClientUnderTest(peer.address)
             caller.start_call()
             assert await caller.wait_for_reply() == (7, outcome, total)
@@ -42,11 +42,11 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("answer", MALFORMED_REPLIES)
-def test_connection_with_a_malformed_reply_is_not_used_again(answer: bytes) -> None:
+@pytest.mark.parametrize("reply", MALFORMED_REPLIES)
+def test_connection_with_a_malformed_reply_is_not_used_again(reply: bytes) -> None:
     async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
         while await reader.readline():
-            writer.write(b"ok 5\r\n" if connection_index else answer + b"ok 99\r\n")
+            writer.write(b"ok 5\r\n" if connection_index else reply + b"ok 99\r\n")
 
     async def body() -> None:
         async with ScriptedServer(script) as peer:
@@ -60,7 +60,7 @@
 
 
 @pytest.mark.parametrize(
-    ("amount", "lifetime", "line"),
+    ("amount", "lifetime_s", "line"),
     [
         (1.0, 60.0, b"add 7 1 60000\r\n"),
         (-2.5, 4.0, b"add 7 -2.5 4000\r\n"),
@@ -69,11 +69,11 @@
         (1e8, 1.0, b"add 7 100000000 1000\r\n"),
     ],
 )
-def test_call_is_encoded_as_an_add_line(amount: float, lifetime: float, line: bytes) -> None:
+def test_call_is_encoded_as_an_add_line(amount: float, lifetime_s: float, line: bytes) -> None:
     async def body() -> None:
         async with make_scripted_counter() as peer:
             caller = CounterClientUnderTest(peer.address)
-            caller.start_call(7, amount, lifetime)
+            caller.start_call(7, amount, lifetime_s)
             await wait_until(lambda: peer.received_commands)
             assert peer.received_commands == [[line]]
 
@@ -133,6 +133,8 @@
 
 
 def test_connection_closed_during_a_call_reports_a_timeout_and_is_replaced() -> None:
+    """The counter may have added the units, so the outcome must not say that it has not."""
+
     async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
         await reader.readline()
         if connection_index == 1:
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -103,7 +103,7 @@
 
 
 def test_requests_that_come_before_the_slice_refills_are_not_admitted_unsampled() -> None:
-    """Otherwise customers over their quotas cause nearly all attempts beyond quotas, as with 45 gateways."""
+    """Without this rule, customers that overloaded 45 gateways caused nearly all attempts beyond quotas."""
     harness = GatewayHarness(
         replace(LARGE_FLEET_SETTINGS, plans=(replace(BASIC_PLAN, over_quota_cost_share=1.0),))
     )
@@ -127,10 +127,11 @@
 
 
 @pytest.mark.parametrize(
-    ("is_client_retry", "level", "passes"), [(False, 0.0, True), (True, 0.0, False), (True, 0.5, True)]
+    ("is_client_retry", "slice_level", "is_admitted"),
+    [(False, 0.0, True), (True, 0.0, False), (True, 0.5, True)],
 )
 def test_client_retry_on_a_low_slice_is_not_admitted_unsampled(
-    is_client_retry: bool, level: float, passes: bool
+    is_client_retry: bool, slice_level: float, is_admitted: bool
 ) -> None:
     harness = GatewayHarness(LARGE_FLEET_SETTINGS)
     harness.gateway.counter.sampling.rate = 0.0
@@ -138,7 +139,7 @@
     harness.now += 2.0 * 100 / BASIC_PLAN.rate + 1.0  # the slice has refilled since the last request
     harness.gateway.counter.last_success_at = harness.now
     customer = get_customer(harness)
-    customer.slice.level = level
+    customer.slice.level = slice_level
     customer.slice.updated_at = harness.now
     assert (
         bool(
@@ -146,7 +147,7 @@
                 harness.deliver_request(assigned_instances=100, units=2.0, is_client_retry=is_client_retry)
             )
         )
-        is passes
+        is is_admitted
     )
     # The slice has not refilled since the last request.
     assert not find_sent_attempts(
@@ -163,21 +164,23 @@
 
 
 @pytest.mark.parametrize(
-    ("gateways", "assigned_instances", "first"),
+    ("gateway_count", "assigned_instances", "first_instance"),
     [(1, 1, 0), (1000, 1, 999), (1000, 1000, 0), (1000, 700, 900)],
 )
 def test_total_decides_for_any_number_of_gateways_and_for_a_range_that_wraps_around(
-    gateways: int, assigned_instances: int, first: int
+    gateway_count: int, assigned_instances: int, first_instance: int
 ) -> None:
-    harness = GatewayHarness(replace(COUNTER_SETTINGS, instance_count=gateways))
+    harness = GatewayHarness(replace(COUNTER_SETTINGS, instance_count=gateway_count))
     harness.gateway.counter.sampling.rate = 1.0
     # The request takes more than half of any slice, so the counter is asked.
     assert not find_sent_attempts(
-        harness.deliver_request(assigned_instances=assigned_instances, first_instance=first, units=6.0)
+        harness.deliver_request(
+            assigned_instances=assigned_instances, first_instance=first_instance, units=6.0
+        )
     )
     peer_indices = get_customer(harness).peer_indices(harness.gateway.settings)
     assert len(set(peer_indices) | {0}) in (assigned_instances, assigned_instances + 1)
-    assert all(0 <= n < gateways for n in peer_indices)
+    assert all(0 <= n < gateway_count for n in peer_indices)
     assert find_sent_attempts(
         harness.deliver_event(
             0.001, CounterReply(list_counter_calls(harness)[-1].name, Outcome.OK, 1.0, 0.001)
--- a/tests/decisions/test_balancer_cost.py
+++ b/tests/decisions/test_balancer_cost.py
@@ -49,19 +49,19 @@
         gateway.handle(now, AttemptEnded(sent.id, 0, sent.backend, Outcome.OK, 0.05, True))
 
 
-@pytest.mark.parametrize("gateways", [400, 3400])
-def test_cost_of_a_request_does_not_grow_with_the_number_of_backends(gateways: int) -> None:
+@pytest.mark.parametrize("gateway_count", [400, 3400])
+def test_cost_of_a_request_does_not_grow_with_the_number_of_backends(gateway_count: int) -> None:
     costs = {}
     for backend_count in (200, 20_000):
         gateway, now = create_warmed_up_gateway(
-            replace(MANY_GATEWAYS_SETTINGS, instance_count=gateways), backend_count
+            replace(MANY_GATEWAYS_SETTINGS, instance_count=gateway_count), backend_count
         )
         costs[backend_count] = [
             count_calls(lambda gateway=gateway, now=now, n=n: serve_request(gateway, now, f"r{n}"))  # type: ignore[misc]
             for n in range(40)
         ]
     assert sum(costs[20_000]) <= 3.0 * sum(costs[200])  # 32 backends are compared instead of 12
-    if 20_000 * MIN_GATEWAYS_PER_BACKEND / gateways <= SUBSET_SIZE:
+    if 20_000 * MIN_GATEWAYS_PER_BACKEND / gateway_count <= SUBSET_SIZE:
         assert sum(costs[20_000]) <= 1.1 * sum(costs[200])
 
 
--- a/tests/decisions/test_ceiling.py
+++ b/tests/decisions/test_ceiling.py
@@ -17,15 +17,15 @@
 )
 
 
-def send_first_request_of_process(age: float, peer_units: float) -> tuple[GatewayHarness, bool]:
-    """Deliver a first request of 4 units to a process started `age` seconds ago.
+def send_first_request_of_process(age_s: float, peer_units: float) -> tuple[GatewayHarness, bool]:
+    """Deliver a first request of 4 units to a process started `age_s` seconds ago.
 
     The counter replies that the other gateways have used `peer_units` units.  Return the gateway, and whether
     it sent the request to a backend.
     """
     harness = GatewayHarness(replace(COUNTER_SETTINGS, plans=(CEILING_PLAN,), max_request_units=4))
     harness.gateway.counter.sampling.rate = 1.0
-    harness.gateway.process_start.started_at = harness.now - age
+    harness.gateway.process_start.started_at = harness.now - age_s
     harness.deliver_request(units=4.0)
     call = list_counter_calls(harness)[-1]
     return harness, bool(
@@ -36,16 +36,17 @@
 
 
 @pytest.mark.parametrize(
-    ("age", "others", "passes"), [(0.0, 0.0, True), (0.0, 1.0, False), (0.5, 2.0, True), (0.5, 3.0, False)]
+    ("age_s", "peer_units", "is_admitted"),
+    [(0.0, 0.0, True), (0.0, 1.0, False), (0.5, 2.0, True), (0.5, 3.0, False)],
 )
 def test_new_process_uses_what_the_refilled_ceiling_has_left_after_use_by_others(
-    age: float, others: float, passes: bool
+    age_s: float, peer_units: float, is_admitted: bool
 ) -> None:
     """The slice has at most 3 of the 4 units by then, so the complete ceiling decides.
 
     An exhausted quota leaves 8 units of the ceiling; half of them are the reserve of a new process.
     """
-    assert send_first_request_of_process(age, others)[1] is passes
+    assert send_first_request_of_process(age_s, peer_units)[1] is is_admitted
 
 
 def test_lost_count_leaves_no_more_than_the_reserve() -> None:
--- a/tests/decisions/test_correction_lease.py
+++ b/tests/decisions/test_correction_lease.py
@@ -120,14 +120,14 @@
     )
 
 
-@pytest.mark.parametrize("asking", [1, 5, GATEWAYS])
-def test_credit_is_corrected_once_however_many_gateways_see_it(asking: int) -> None:
+@pytest.mark.parametrize("requesting_gateway_count", [1, 5, GATEWAYS])
+def test_credit_is_corrected_once_however_many_gateways_see_it(requesting_gateway_count: int) -> None:
     fleet = FleetWithCounter()
     fleet.now += 20.0  # 40 units of credit beyond the burst
-    for index in range(asking):
+    for index in range(requesting_gateway_count):
         fleet.send_request(index)
     fleet.deliver_calls()
-    assert fleet.sent_count >= min(asking, BASIC_PLAN.burst)
+    assert fleet.sent_count >= min(requesting_gateway_count, BASIC_PLAN.burst)
     assert fleet_quota_level(fleet) == pytest.approx(BASIC_PLAN.burst - fleet.sent_count, abs=0.5)
 
 
--- a/tests/decisions/test_count_learning.py
+++ b/tests/decisions/test_count_learning.py
@@ -11,10 +11,10 @@
 from tests.support.quota import COUNTER_SETTINGS, find_counter_calls, get_count_start_time
 
 
-@pytest.mark.parametrize("gateways", [1, 2])
-def test_new_count_does_not_refill_the_quota(gateways: int) -> None:
+@pytest.mark.parametrize("gateway_count", [1, 2])
+def test_new_count_does_not_refill_the_quota(gateway_count: int) -> None:
     """Without the carry-over, a burst that lasts into the next epoch exceeds the quota and the ceiling."""
-    harnesses = [GatewayHarness(replace(COUNTER_SETTINGS, instance_index=n)) for n in range(gateways)]
+    harnesses = [GatewayHarness(replace(COUNTER_SETTINGS, instance_index=n)) for n in range(gateway_count)]
     totals: dict[int, float] = {}
     count_names: set[int] = set()
     next_count_starts_at = get_count_start_time(4)
--- a/tests/decisions/test_counted_use.py
+++ b/tests/decisions/test_counted_use.py
@@ -4,7 +4,7 @@
 
 from ingress.decisions.counted_use import COUNT_EPOCH_S, CountedUse
 
-HASH = 0x1F03A250  # its epochs begin between the multiples of the epoch's length
+HASH = 0x1F03A250  # its epochs begin a part of an epoch before the multiples of the epoch's length
 
 
 def test_each_epoch_has_its_own_name_and_its_own_totals() -> None:
--- a/tests/decisions/test_fallback.py
+++ b/tests/decisions/test_fallback.py
@@ -44,9 +44,9 @@
     assert sent[0].backend not in {b.entry.id for b in subset}
 
 
-@pytest.mark.parametrize("count", [60, 300, 3000])
-def test_requests_are_served_by_others_if_the_whole_subset_is_down(count: int) -> None:
-    harness = GatewayHarness(MANY_GATEWAYS_SETTINGS, make_backends(count))
+@pytest.mark.parametrize("backend_count", [60, 300, 3000])
+def test_requests_are_served_by_others_if_the_whole_subset_is_down(backend_count: int) -> None:
+    harness = GatewayHarness(MANY_GATEWAYS_SETTINGS, make_backends(backend_count))
     assert len(list_answering_backends(harness, lambda name: False, 60)) == 60
     lost_ids = {b.entry.id for b in harness.gateway.balancer.subset}
     harness.gateway.retry_policy.budget.level = 10.0
@@ -68,9 +68,9 @@
     assert len(harness.gateway.balancer.tracked_backends) == len(lost_ids)
 
 
-@pytest.mark.parametrize("count", [60, 300, 3000])
-def test_requests_are_served_by_other_zones_if_one_zone_is_down(count: int) -> None:
-    harness = GatewayHarness(MANY_GATEWAYS_SETTINGS, make_backends(count))
+@pytest.mark.parametrize("backend_count", [60, 300, 3000])
+def test_requests_are_served_by_other_zones_if_one_zone_is_down(backend_count: int) -> None:
+    harness = GatewayHarness(MANY_GATEWAYS_SETTINGS, make_backends(backend_count))
     list_answering_backends(harness, lambda name: False, 60)
     answered = list_answering_backends(harness, lambda name: int(name[1:]) % 3 == 0, 200)
     assert len(answered) >= 198
@@ -156,29 +156,33 @@
 
 
 @pytest.mark.parametrize(
-    ("gateways", "count", "rate", "min_share"), [(3400, 2000, 200.0, 0.85), (200, 200, 20.0, 0.2)]
+    ("gateway_count", "backend_count", "requests_per_s", "min_share"),
+    [(3400, 2000, 200.0, 0.85), (200, 200, 20.0, 0.2)],
 )
 def test_requests_are_served_by_others_if_the_whole_subset_stops_answering(
-    gateways: int, count: int, rate: float, min_share: float
+    gateway_count: int, backend_count: int, requests_per_s: float, min_share: float
 ) -> None:
     """Guard against mistaking attempts without an answer for an overload.
 
     At 20 requests per second, this mistake led to seconds in which all requests were rejected.
     """
     answered_shares = [
-        SilentBackendsScenario(gateways, count, rate, seed).run(select_subset) for seed in (1, 2)
+        SilentBackendsScenario(gateway_count, backend_count, requests_per_s, seed).run(select_subset)
+        for seed in (1, 2)
     ]
     assert min(answered_shares) >= min_share
 
 
 @pytest.mark.parametrize(
-    ("gateways", "count", "rate", "min_share"), [(3400, 2000, 200.0, 0.95), (200, 200, 20.0, 0.7)]
+    ("gateway_count", "backend_count", "requests_per_s", "min_share"),
+    [(3400, 2000, 200.0, 0.95), (200, 200, 20.0, 0.7)],
 )
 def test_requests_are_served_by_other_zones_if_one_zone_stops_answering(
-    gateways: int, count: int, rate: float, min_share: float
+    gateway_count: int, backend_count: int, requests_per_s: float, min_share: float
 ) -> None:
     answered_shares = [
-        SilentBackendsScenario(gateways, count, rate, seed).run(select_zone_a) for seed in (1, 2)
+        SilentBackendsScenario(gateway_count, backend_count, requests_per_s, seed).run(select_zone_a)
+        for seed in (1, 2)
     ]
     assert min(answered_shares) >= min_share
 
--- a/tests/decisions/test_outlier_ejection.py
+++ b/tests/decisions/test_outlier_ejection.py
@@ -34,7 +34,7 @@
 
 
 def test_pause_doubles_for_a_backend_that_rejects_all_requests() -> None:
-    """Guard against sending most requests to a backend that rejects all of them.
+    """Guard against sending many requests to a backend that rejects all of them.
 
     A backend that drains before the endpoint list says so rejects requests immediately and therefore looks
     idle.  Such a backend has received a third of all attempts.
--- a/tests/decisions/test_plan_concurrency_limit.py
+++ b/tests/decisions/test_plan_concurrency_limit.py
@@ -11,9 +11,12 @@
 
 
 @pytest.mark.parametrize(
-    ("limit", "assigned_instances", "most"), [(3, 4, 1), (4, 4, 1), (7, 4, 2), (45, 30, 2), (3, 1, 3)]
+    ("limit", "assigned_instances", "expected_slice"),
+    [(3, 4, 1), (4, 4, 1), (7, 4, 2), (45, 30, 2), (3, 1, 3)],
 )
-def test_slice_of_the_concurrency_limit_is_rounded_up(limit: int, assigned_instances: int, most: int) -> None:
+def test_slice_of_the_concurrency_limit_is_rounded_up(
+    limit: int, assigned_instances: int, expected_slice: int
+) -> None:
     """Four slices of a limit of 7, if rounded down, would allow only 4 attempts.
 
     Requests also arrive unevenly, so that some slices are not used up.
@@ -26,7 +29,7 @@
             len(find_sent_attempts(harness.deliver_request(assigned_instances=assigned_instances)))
             for _ in range(limit)
         )
-        == most
+        == expected_slice
     )
     resized_harness = GatewayHarness(
         replace(SETTINGS, instance_count=30, plans=(Plan("basic", concurrency_limit=limit),))
@@ -38,7 +41,7 @@
             len(find_sent_attempts(resized_harness.deliver_request(assigned_instances=assigned_instances)))
             for _ in range(limit)
         )
-        == most - 1
+        == expected_slice - 1
     )
 
 
--- a/tests/decisions/test_request.py
+++ b/tests/decisions/test_request.py
@@ -92,15 +92,18 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "left"), [(Outcome.RESET, KEYED_CLASS.deduplication_window - 0.5), (Outcome.REJECTED, 0.0)]
+    ("outcome", "expected_max_write_delay"),
+    [(Outcome.RESET, KEYED_CLASS.deduplication_window - 0.5), (Outcome.REJECTED, 0.0)],
 )
-def test_keyed_retry_must_be_written_within_its_deduplication_window(outcome: Outcome, left: float) -> None:
+def test_keyed_retry_must_be_written_within_its_deduplication_window(
+    outcome: Outcome, expected_max_write_delay: float
+) -> None:
     """A retry sent within the window may wait for a connection until the backends have dropped its key."""
     harness = GatewayHarness()
     [sent] = find_sent_attempts(harness.deliver_request(request_class="order"))
     assert sent.max_write_delay == 0.0
     [retry] = find_sent_attempts(harness.end_attempt(sent, outcome, 0.5))
-    assert retry.max_write_delay == pytest.approx(left)
+    assert retry.max_write_delay == pytest.approx(expected_max_write_delay)
 
 
 def test_idempotent_retry_may_be_written_at_any_time() -> None:
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "again"),
+    ("outcome", "is_retried"),
     [
         (Outcome.REJECTED, True),
         (Outcome.CONNECT_FAILED, True),
@@ -80,10 +80,10 @@
         (Outcome.RESET, False),
     ],
 )
-def test_attempt_that_was_not_executed_is_retried_without_budget(outcome: Outcome, again: bool) -> None:
+def test_attempt_that_was_not_executed_is_retried_without_budget(outcome: Outcome, is_retried: bool) -> None:
     harness = GatewayHarness(UNLIMITED_SETTINGS)
     count_attempts_by_backend(harness, 0.05, 60)
     harness.gateway.retry_policy.budget.level = 0.5
     [sent] = find_sent_attempts(harness.deliver_request())
-    assert bool(find_sent_attempts(harness.end_attempt(sent, outcome, 0.001))) is again
+    assert bool(find_sent_attempts(harness.end_attempt(sent, outcome, 0.001))) is is_retried
     assert harness.gateway.retry_policy.budget.level < 1.0
--- a/tests/decisions/test_subset.py
+++ b/tests/decisions/test_subset.py
@@ -24,27 +24,29 @@
 
 
 @pytest.mark.parametrize(
-    ("gateways", "count"),
+    ("gateway_count", "backend_count"),
     [(1, 3), (2, 13), (3, 17), (40, 60), (40, 13), (200, 30), (30, 200), (7, 400), (60, 60)],
 )
-def test_counted_gateways_match_the_subsets_of_all_gateways(gateways: int, count: int) -> None:
-    names = [f"10.0.0.{n}:9000" for n in range(count)]
-    gateway_counts = dict.fromkeys(names, 0)
-    for subset in compute_subsets(gateways, names):
+def test_counted_gateways_match_the_subsets_of_all_gateways(gateway_count: int, backend_count: int) -> None:
+    names = [f"10.0.0.{n}:9000" for n in range(backend_count)]
+    expected_counts = dict.fromkeys(names, 0)
+    for subset in compute_subsets(gateway_count, names):
         assert len(subset) == len(set(subset))
         for name in subset:
-            gateway_counts[name] += 1
-    subsetting = Subsetting(replace(SETTINGS, instance_count=gateways))
+            expected_counts[name] += 1
+    subsetting = Subsetting(replace(SETTINGS, instance_count=gateway_count))
     subsetting.update([], names)
-    assert {name: subsetting.count_gateways_preferring(name) for name in names} == gateway_counts
+    assert {name: subsetting.count_gateways_preferring(name) for name in names} == expected_counts
 
 
-@pytest.mark.parametrize(("gateways", "count"), [(3, 17), (3, 200), (40, 2000)])
-def test_each_backend_is_in_the_subset_of_some_gateway(gateways: int, count: int) -> None:
-    names = [f"b{n}" for n in range(count)]
-    subsets = compute_subsets(gateways, names)
+@pytest.mark.parametrize(("gateway_count", "backend_count"), [(3, 17), (3, 200), (40, 2000)])
+def test_each_backend_is_in_the_subset_of_some_gateway(gateway_count: int, backend_count: int) -> None:
+    names = [f"b{n}" for n in range(backend_count)]
+    subsets = compute_subsets(gateway_count, names)
     assert set().union(*subsets) == set(names)
-    assert max(map(len, subsets)) <= max(SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * count / gateways + 1)
+    assert max(map(len, subsets)) <= max(
+        SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * backend_count / gateway_count + 1
+    )
 
 
 def test_subsets_cover_all_backends_evenly_and_change_little_with_the_list() -> None:
--- a/tests/decisions/test_token_bucket.py
+++ b/tests/decisions/test_token_bucket.py
@@ -22,7 +22,7 @@
     assert bucket.level == 10.0
 
 
-def test_level_stays_above_the_floor_when_taking_and_below_the_capacity_when_refunding() -> None:
+def test_take_stops_at_the_floor_and_refund_at_the_capacity() -> None:
     bucket = TokenBucket(rate=0.0, capacity=8.0, level=3.0, updated_at=0.0)
     assert bucket.take_units(5.0, floor=0.0) == 3.0
     assert bucket.take_units(5.0) == 5.0
@@ -31,8 +31,8 @@
     assert bucket.level == 8.0
 
 
-@pytest.mark.parametrize(("factor", "level"), [(0.5, 4.0), (2.0, 6.0)])
-def test_rescaling_does_not_add_units(factor: float, level: float) -> None:
+@pytest.mark.parametrize(("factor", "expected_level"), [(0.5, 4.0), (2.0, 6.0)])
+def test_rescaling_does_not_add_units(factor: float, expected_level: float) -> None:
     bucket = TokenBucket(rate=2.0, capacity=8.0, level=4.0, updated_at=0.0)
     bucket.rescale(1.0, factor)
-    assert (bucket.rate, bucket.capacity, bucket.level) == (2.0 * factor, 8.0 * factor, level)
+    assert (bucket.rate, bucket.capacity, bucket.level) == (2.0 * factor, 8.0 * factor, expected_level)
--- a/tests/discovery/test_backoff.py
+++ b/tests/discovery/test_backoff.py
@@ -52,7 +52,7 @@
 class SimulatedAgent:
     """An agent that fails every call until `failures_end_s`, loses one call, and then responds to all calls.
 
-    The simulated time advances only in `sleep`.
+    It responds after `service_time_s`.  The simulated time advances only in `sleep`.
     """
 
     def __init__(self, failure: str, service_time_s: float, failures_end_s: float = FAILURES_END_S) -> None:
@@ -165,7 +165,7 @@
 
 
 def test_call_rate_to_a_rejecting_service_falls_to_its_bound() -> None:
-    """At the maximum backoff, the mean delay of a gateway is three quarters of the longest delay."""
+    """At the maximum backoff, a gateway makes on average at most one call in 3/4 of the longest delay."""
 
     async def body() -> None:
         agents = [SimulatedAgent("rejected", SERVICE_TIME_LIMIT_S) for _ in range(SEED_COUNT)]
--- a/tests/discovery/test_endpoint_list.py
+++ b/tests/discovery/test_endpoint_list.py
@@ -1,4 +1,4 @@
-"""Tests of endpoint lists: decoding, invalid entries, size limits, and long lists."""
+"""Tests of endpoint lists: decoding, invalid entries, size limits, and the event loop during a long list."""
 
 from __future__ import annotations
 
@@ -53,7 +53,7 @@
 
 
 @pytest.mark.parametrize(
-    "write",
+    "encode_source",
     [
         lambda source: json.dumps(source),
         lambda source: json.dumps(source, indent=4),
@@ -62,16 +62,16 @@
         lambda source: json.dumps(dict(reversed(source.items()))),
     ],
 )
-@pytest.mark.parametrize("kind", [bytes, bytearray])
+@pytest.mark.parametrize("buffer_type", [bytes, bytearray])
 def test_list_is_decoded_whatever_its_whitespace_and_key_order(
-    write: Callable[[dict[str, Any]], str], kind: type[bytes] | type[bytearray]
+    encode_source: Callable[[dict[str, Any]], str], buffer_type: type[bytes] | type[bytearray]
 ) -> None:
     entries = [
         make_endpoint_entry(LOCAL_ADDRESS, started_ms=1_700_000_000_500) | {"other": [1]},
         make_endpoint_entry(LOCAL_ADDRESS, "s2", "draining"),
     ]
     source = {"version": 43, "full": False, "servers": entries}
-    endpoint_list = decode(kind(write(source).encode()))
+    endpoint_list = decode(buffer_type(encode_source(source).encode()))
     assert (endpoint_list.version, endpoint_list.is_complete) == (43, False)
     assert [
         (
@@ -269,13 +269,13 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("head", [b"Content-Length: 1000000000", b"Transfer-Encoding: chunked"])
+@pytest.mark.parametrize("header", [b"Content-Length: 1000000000", b"Transfer-Encoding: chunked"])
 def test_list_beyond_the_size_limit_is_dropped_and_logged(
-    head: bytes, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
+    header: bytes, caplog: pytest.LogCaptureFixture, monkeypatch: pytest.MonkeyPatch
 ) -> None:
     monkeypatch.setattr(watch_module, "DEFAULT_MAX_BODY_BYTES", 100_000)
     chunk = b" " * 65_536
-    if head.startswith(b"Transfer"):
+    if header.startswith(b"Transfer"):
         chunk = b"10000\r\n" + chunk + b"\r\n"
 
     async def script(number: int, reader: Reader, writer: Writer) -> None:
@@ -283,7 +283,7 @@
             if number:
                 writer.write(encode_http_response(encode_complete_list(1)))
                 continue
-            writer.write(b"HTTP/1.1 200 OK\r\n" + head + b"\r\n\r\n")
+            writer.write(b"HTTP/1.1 200 OK\r\n" + header + b"\r\n\r\n")
             while True:
                 writer.write(chunk)
                 await writer.drain()
--- a/tests/discovery/test_http_client.py
+++ b/tests/discovery/test_http_client.py
@@ -77,7 +77,7 @@
 
 
 @pytest.mark.parametrize(
-    "complete",
+    "response",
     [
         encode_http_response(BODY),
         encode_http_response(BODY, headers=b"Content-Type: application/json\r\nX-Other: 1\r\n"),
@@ -89,14 +89,14 @@
         b"HTTP/1.1 103 Early Hints\r\nLink: a\r\n\r\n" + encode_http_response(BODY),
     ],
 )
-@pytest.mark.parametrize("piece", [1, 7, 10_000])
-def test_response_may_arrive_in_pieces(complete: bytes, piece: int) -> None:
+@pytest.mark.parametrize("piece_size", [1, 7, 10_000])
+def test_response_may_arrive_in_pieces(response: bytes, piece_size: int) -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             while True:
                 await read_request_head(reader)
-                for start in range(0, len(complete), piece):
-                    writer.write(complete[start : start + piece])
+                for start in range(0, len(response), piece_size):
+                    writer.write(response[start : start + piece_size])
                     await asyncio.sleep(0)
 
         async with ScriptedServer(script) as peer:
@@ -123,7 +123,7 @@
 
 
 @pytest.mark.parametrize(
-    "begun",
+    "partial_response",
     [
         b"",
         b"HTTP/1.1 200",
@@ -131,11 +131,11 @@
         b"HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n" + BODY[:4],
     ],
 )
-def test_reset_does_not_end_a_response(begun: bytes) -> None:
+def test_reset_does_not_end_a_response(partial_response: bytes) -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             await read_request_head(reader)
-            writer.write(begun)
+            writer.write(partial_response)
             await asyncio.sleep(0.01)  # the client reads the first bytes before the reset
             reset_connection(writer)
 
@@ -147,7 +147,7 @@
 
 
 @pytest.mark.parametrize(
-    "broken",
+    "invalid_response",
     [
         b"HTTP/1.1 200 OK\r\nContent-Length: 13\r\n\r\n" + BODY[:4],
         b"HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n5\r\n" + BODY[:5] + b"\r\n",
@@ -158,11 +158,11 @@
         b"",
     ],
 )
-def test_truncated_or_malformed_response_raises_unavailable(broken: bytes) -> None:
+def test_truncated_or_malformed_response_raises_unavailable(invalid_response: bytes) -> None:
     async def body() -> None:
         async def script(_: int, reader: Reader, writer: Writer) -> None:
             await read_request_head(reader)
-            writer.write(broken)
+            writer.write(invalid_response)
 
         async with ScriptedServer(script) as peer:
             with pytest.raises(DiscoveryUnavailableError):
@@ -172,7 +172,7 @@
 
 
 @pytest.mark.parametrize(
-    "too_long",
+    "oversized_response",
     [
         encode_http_response(b"x" * (MAX_BODY_BYTES + 1)),
         b"HTTP/1.1 200 OK\r\nContent-Length: 900000000000\r\n\r\n",
@@ -180,9 +180,9 @@
         b"HTTP/1.1 200 OK\r\n\r\n" + b"x" * (MAX_BODY_BYTES + 1),
     ],
 )
-def test_response_beyond_the_size_limit_is_dropped(too_long: bytes) -> None:
+def test_response_beyond_the_size_limit_is_dropped(oversized_response: bytes) -> None:
     async def body() -> None:
-        async with make_agent(too_long, encode_http_response(BODY)) as peer:
+        async with make_agent(oversized_response, encode_http_response(BODY)) as peer:
             client = HttpDiscoveryClient(peer.address)
             with pytest.raises(InvalidEndpointListError, match="too long"):
                 await fetch(client)
--- a/tests/discovery/test_watch.py
+++ b/tests/discovery/test_watch.py
@@ -109,13 +109,15 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("broken", [b"", b"{", b"[]", b'{"version":1}', b'{"version":"x","servers":[]}'])
-def test_failed_call_is_retried_and_the_list_is_kept(broken: bytes) -> None:
+@pytest.mark.parametrize(
+    "unusable_body", [b"", b"{", b"[]", b'{"version":1}', b'{"version":"x","servers":[]}']
+)
+def test_failed_call_is_retried_and_the_list_is_kept(unusable_body: bytes) -> None:
     async def body() -> None:
         agent = ScriptedAgent(
             encode_endpoint_list(41, True, make_endpoint_entry(LOCAL_ADDRESS)),
-            broken,
-            broken,
+            unusable_body,
+            unusable_body,
             encode_endpoint_list(42, True, make_endpoint_entry(LOCAL_ADDRESS)),
         )
         updates = await collect_updates(agent, 5)
@@ -123,7 +125,7 @@
         assert agent.requested_targets[-1] == LONG_POLL_TARGET % 42
         fetches_complete_list = COMPLETE_LIST_TARGET in agent.requested_targets[2:]
         # Only an invalid response, and not a missing one, suggests that the held list is wrong.
-        assert fetches_complete_list is bool(broken)
+        assert fetches_complete_list is bool(unusable_body)
         assert [update.version for _, update in updates] == [41, 42]
 
     run_async_test(body())
--- a/tests/downstream/test_command_executor.py
+++ b/tests/downstream/test_command_executor.py
@@ -1,4 +1,4 @@
-"""Execution of commands, and counting of malformed ones."""
+"""Execution of commands, and counting of consecutive malformed ones."""
 
 from __future__ import annotations
 
--- a/tests/downstream/test_connection.py
+++ b/tests/downstream/test_connection.py
@@ -143,17 +143,19 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("sent", [b"", b"*", b"*4\r\n$8\r\nAPI.R", b"*1\r\n$4\r\nPIN"])
-def test_silent_client_or_partial_command_times_out(sent: bytes, monkeypatch: pytest.MonkeyPatch) -> None:
+@pytest.mark.parametrize("sent_bytes", [b"", b"*", b"*4\r\n$8\r\nAPI.R", b"*1\r\n$4\r\nPIN"])
+def test_silent_client_or_partial_command_times_out(
+    sent_bytes: bytes, monkeypatch: pytest.MonkeyPatch
+) -> None:
     monkeypatch.setattr(timeouts, "READ_TIMEOUT_S", 0.2)
     monkeypatch.setattr(listener, "SWEEP_INTERVAL_S", 0.02)
 
     async def body() -> None:
         async with running_ingress(make_config()) as (ingress, address):
             caller = await RespClient.connect(address)
-            caller.writer.write(sent)
+            caller.writer.write(sent_bytes)
             received = await caller.reader.read()  # until the connection is closed
-            assert received.startswith(b"-ERR ") is bool(sent)
+            assert received.startswith(b"-ERR ") is bool(sent_bytes)
             caller.writer.close()
             await wait_until(lambda: not ingress.listener.connections)
             assert not ingress.listener.input_budget.used_bytes
--- a/tests/network/test_frames.py
+++ b/tests/network/test_frames.py
@@ -17,16 +17,16 @@
     return find_array_end(data, start, MAX_ITEMS, MAX_ITEM_BYTES, MAX_ARRAY_BYTES, allow_null)
 
 
-@pytest.mark.parametrize("kind", [bytes, bytearray])
+@pytest.mark.parametrize("buffer_type", [bytes, bytearray])
 @pytest.mark.parametrize(
     ("frame", "allow_null"), [(ARRAY, False), (ARRAY_WITH_NULL, True), (b"*0\r\n", False)]
 )
 def test_array_is_incomplete_until_its_last_byte_arrives(
-    kind: type[bytes] | type[bytearray], frame: bytes, allow_null: bool
+    buffer_type: type[bytes] | type[bytearray], frame: bytes, allow_null: bool
 ) -> None:
     for size in range(len(frame)):
-        assert find_end(kind(frame[:size]), allow_null=allow_null) == INCOMPLETE
-    assert find_end(kind(frame + b"*1\r\n"), allow_null=allow_null) == len(frame)
+        assert find_end(buffer_type(frame[:size]), allow_null=allow_null) == INCOMPLETE
+    assert find_end(buffer_type(frame + b"*1\r\n"), allow_null=allow_null) == len(frame)
 
 
 def test_end_of_an_array_that_follows_another() -> None:
--- a/tests/process/test_deadlines.py
+++ b/tests/process/test_deadlines.py
@@ -7,11 +7,13 @@
 from ingress.process.deadlines import DECISION_MARGIN_S, decision_time
 
 
-@pytest.mark.parametrize(("client_time", "expected"), [(4.0, 3.98), (0.2, 0.18), (0.1, 0.09), (0.0, 0.0)])
+@pytest.mark.parametrize(
+    ("waiting_time_s", "expected_s"), [(4.0, 3.98), (0.2, 0.18), (0.1, 0.09), (0.0, 0.0)]
+)
 def test_margin_is_constant_and_at_most_a_tenth_of_the_waiting_time(
-    client_time: float, expected: float
+    waiting_time_s: float, expected_s: float
 ) -> None:
-    assert decision_time(client_time) == pytest.approx(expected)
+    assert decision_time(waiting_time_s) == pytest.approx(expected_s)
 
 
 def test_margin_of_a_long_waiting_time_is_exact() -> None:
--- a/tests/process/test_ingress.py
+++ b/tests/process/test_ingress.py
@@ -27,7 +27,7 @@
 
 
 def test_ingress_pauses_at_startup_before_it_listens(monkeypatch: pytest.MonkeyPatch) -> None:
-    """Without the pause, requests stayed unread for 1.2 s while the process was throttled at startup."""
+    """Without the pause, a throttled process left requests unread for as long as its start took: 1.2 s."""
 
     async def body() -> None:
         monkeypatch.setattr(ingress_module, "STARTUP_PAUSE_S", 3600.0)
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -183,16 +183,16 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
+@pytest.mark.parametrize("signal_number", [signal.SIGHUP, signal.SIGTERM])
 def test_signal_during_startup_stays_pending_until_its_handler_is_set(
-    number: signal.Signals, tmp_path: Path
+    signal_number: signal.Signals, tmp_path: Path
 ) -> None:
     """The signal arrives while the program imports its modules; unblocked, it would kill the process."""
     path, stub = tmp_path / CONFIG_FILE_NAME, tmp_path / "uvloop.py"
     text = make_config_text(listen=f"127.0.0.1:{find_free_port()}")
     # This module is found in place of uvloop; it signals the process and then imports the real uvloop.
     stub.write_text(
-        f"import os, sys\nos.kill(os.getpid(), {int(number)})\nsys.path.remove({str(tmp_path)!r})\n"
+        f"import os, sys\nos.kill(os.getpid(), {int(signal_number)})\nsys.path.remove({str(tmp_path)!r})\n"
         "del sys.modules['uvloop']\nimport uvloop\n",
         encoding="utf-8",
     )
@@ -200,7 +200,7 @@
     async def body() -> None:
         async with running_process(path, text, module_path=str(tmp_path)) as process:
             assert process.stderr is not None
-            if number is signal.SIGHUP:
+            if signal_number is signal.SIGHUP:
                 assert "discovery" in await read_log_line(process, "configuration reloaded")
                 await read_log_line(process, "listening")
                 process.send_signal(signal.SIGTERM)
--- a/tests/process/test_request_service.py
+++ b/tests/process/test_request_service.py
@@ -38,14 +38,14 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("sent", [True, False])
-def test_final_answer_is_enforced_when_module_and_backend_are_silent(sent: bool) -> None:
+@pytest.mark.parametrize("is_attempt_sent", [True, False])
+def test_final_answer_is_enforced_when_module_and_backend_are_silent(is_attempt_sent: bool) -> None:
     async def body() -> None:
         async with (
             make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
-            gateway = install_scripted_gateway(ingress, send_to_s1 if sent else None)
+            gateway = install_scripted_gateway(ingress, send_to_s1 if is_attempt_sent else None)
             caller = await RespClient.connect(address)
             clock = asyncio.get_running_loop().time
             start = clock()
@@ -53,7 +53,7 @@
             assert clock() - start > 0.2
             assert len(gateway.get_events_of_type(api.RequestCancelled)) == 1
             await wait_until(lambda: not ingress.attempt_dispatcher.in_flight and not ingress.requests)
-            assert len(gateway.get_events_of_type(api.AttemptEnded)) == sent
+            assert len(gateway.get_events_of_type(api.AttemptEnded)) == is_attempt_sent
             assert await caller.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
 
     run_async_test(body())
--- a/tests/scale/experiment/test_run_smoke.py
+++ b/tests/scale/experiment/test_run_smoke.py
@@ -108,16 +108,16 @@
     assert saved.points[0].measures["lost"] >= 1
 
 
-@pytest.mark.parametrize("missing", ["ingress", ".venv"])
-def test_missing_part_of_a_project_is_named_in_the_error(missing: str, tmp_path: Path) -> None:
-    if missing == ".venv":
+@pytest.mark.parametrize("missing_part", ["ingress", ".venv"])
+def test_missing_part_of_a_project_is_named_in_the_error(missing_part: str, tmp_path: Path) -> None:
+    if missing_part == ".venv":
         (tmp_path / "ingress").mkdir()
         (tmp_path / "ingress" / "__init__.py").touch()
         (tmp_path / "deploy").mkdir()
         (tmp_path / "deploy" / "balancer.toml").write_text('run = "exec .venv/bin/python"', encoding="utf-8")
     result = CliRunner().invoke(main, ["run", str(SMOKE_SCENARIO), "--project", str(tmp_path)])
     assert result.exit_code == 2
-    assert missing in result.output
+    assert missing_part in result.output
     assert len(result.output.strip().splitlines()) == 1
 
 
@@ -125,13 +125,17 @@
 INTERRUPTIONS = [(signal.SIGINT, 8, 4), (signal.SIGTERM, 0, 3)]
 
 
-@pytest.mark.parametrize(("number", "hollow", "processes"), INTERRUPTIONS)
+@pytest.mark.parametrize(("signal_number", "hollow_count", "child_count"), INTERRUPTIONS)
 def test_interrupted_run_ends_its_child_processes(
-    number: signal.Signals, hollow: int, processes: int, scenario_without_hollow: Path, tmp_path: Path
+    signal_number: signal.Signals,
+    hollow_count: int,
+    child_count: int,
+    scenario_without_hollow: Path,
+    tmp_path: Path,
 ) -> None:
     """The children are the backends, the clients, a real ingress, and a worker for any hollow ingresses."""
     results = tmp_path / "results"
-    scenario = SMOKE_SCENARIO if hollow else scenario_without_hollow
+    scenario = SMOKE_SCENARIO if hollow_count else scenario_without_hollow
     command = [sys.executable, "-m", "scale", "run", str(scenario), "--results", str(results)]
     run = subprocess.Popen(
         [*command, "--real-command", REAL_COMMAND],
@@ -143,8 +147,8 @@
     assert run.stderr is not None
     assert any('"event": "load"' in line for line in run.stderr)
     children = psutil.Process(run.pid).children(recursive=True)
-    assert len(children) == processes
-    run.send_signal(number)
+    assert len(children) == child_count
+    run.send_signal(signal_number)
     _, errors = run.communicate(timeout=20.0)
     assert run.returncode == 130
     assert errors.strip().splitlines()[-1].endswith("interrupted: all processes of the run were ended")
--- a/tests/scale/report/test_figures.py
+++ b/tests/scale/report/test_figures.py
@@ -19,7 +19,7 @@
 
 
 @pytest.mark.parametrize(
-    ("value", "shown"),
+    ("value", "expected_text"),
     [
         (0, "0"),
         (0.01934, "0.019"),
@@ -35,5 +35,5 @@
         (9.99, "10"),
     ],
 )
-def test_numbers_are_formatted_with_two_significant_digits(value: float, shown: str) -> None:
-    assert format_number(value) == shown
+def test_numbers_are_formatted_with_two_significant_digits(value: float, expected_text: str) -> None:
+    assert format_number(value) == expected_text
--- a/tests/scale/report/test_fits.py
+++ b/tests/scale/report/test_fits.py
@@ -53,12 +53,16 @@
     assert fit_growth([(1, 1), (1, 2), (2, 3)]) is None
 
 
-@pytest.mark.parametrize(("limit", "size", "measured"), [(5_000, 500, True), (50_000, 5_000, False)])
-def test_size_at_limit_is_interpolated_or_extrapolated(limit: float, size: float, measured: bool) -> None:
+@pytest.mark.parametrize(
+    ("limit", "expected_size", "is_measured"), [(5_000, 500, True), (50_000, 5_000, False)]
+)
+def test_size_at_limit_is_interpolated_or_extrapolated(
+    limit: float, expected_size: float, is_measured: bool
+) -> None:
     estimate = fit_costs([10 * size for size in SIZES]).size_for(limit)
     assert estimate is not None
-    assert estimate.value == pytest.approx(size)
-    assert estimate.measured is measured
+    assert estimate.value == pytest.approx(expected_size)
+    assert estimate.measured is is_measured
 
 
 def test_cost_always_above_limit_reaches_it_at_smallest_measured_size() -> None:
--- a/tests/scale/standins/test_agent.py
+++ b/tests/scale/standins/test_agent.py
@@ -72,11 +72,11 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("after", [-1, 7])
-def test_call_with_a_version_outside_the_kept_changes_gets_the_complete_list(after: int) -> None:
+@pytest.mark.parametrize("known_version", [-1, 7])
+def test_call_with_a_version_outside_the_kept_changes_gets_the_complete_list(known_version: int) -> None:
     registry = Registry([make_entry("b1")])
     registry.publish([make_entry("b2")])
-    assert json.loads(registry.encode_response_body(after))["full"]
+    assert json.loads(registry.encode_response_body(known_version))["full"]
 
 
 def test_calls_with_the_same_version_share_one_encoded_response() -> None:
--- a/tests/scale/standins/test_backends.py
+++ b/tests/scale/standins/test_backends.py
@@ -77,12 +77,16 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("bad", [encode_resp_array(b"API.READ", b"1"), b"*1\r\n:3\r\n", b"!x\r\n", b"*0\r\n"])
-def test_malformed_command_is_answered_with_syntax_and_closes_the_connection(bad: bytes) -> None:
+@pytest.mark.parametrize(
+    "malformed_command", [encode_resp_array(b"API.READ", b"1"), b"*1\r\n:3\r\n", b"!x\r\n", b"*0\r\n"]
+)
+def test_malformed_command_is_answered_with_syntax_and_closes_the_connection(
+    malformed_command: bytes,
+) -> None:
     async def body() -> None:
         backend = BackendServer(FAST_BACKEND, random.Random(1))
         reader, writer = await asyncio.open_connection(*await backend.listen())
-        writer.write(bad)
+        writer.write(malformed_command)
         assert await reader.read() == b"-SYNTAX\r\n"
         backend.close()
 
--- a/tests/scale/test_cold.py
+++ b/tests/scale/test_cold.py
@@ -44,7 +44,7 @@
     assert usage.most == pytest.approx(2.0)  # four requests in the window from 0 s, with a budget of two
     assert usage.beyond_budget == 3
     assert usage.beyond_chance == 0
-    # Of the windows of 9 to 1 requests, those of 9, 8 and 7 exceed the limit of 6.9.
+    # Of the windows of 9 to 1 requests, those of 9, 8 and 7 exceed 6.9, up to which an excess may be chance.
     assert measure_window_usage(job, [[0.1] * 9]).beyond_chance == 3
 
 
@@ -52,11 +52,18 @@
     assert measure_window_usage(SMALL_FLEET_JOB, []).windows == 0
 
 
-@pytest.mark.parametrize("ingresses", [3, 24])
-@pytest.mark.parametrize("kind", ["replaced", "restarted"])
-@pytest.mark.parametrize("notice", [0.0, 3.0])
-def test_fleet_does_not_overload_cold_backends(ingresses: int, kind: ColdStartKind, notice: float) -> None:
-    changes = {"ingresses": ingresses, "start_kind": kind, "longest_notice_s": notice, "load": 1.2}
+@pytest.mark.parametrize("ingress_count", [3, 24])
+@pytest.mark.parametrize("start_kind", ["replaced", "restarted"])
+@pytest.mark.parametrize("notice_s", [0.0, 3.0])
+def test_fleet_does_not_overload_cold_backends(
+    ingress_count: int, start_kind: ColdStartKind, notice_s: float
+) -> None:
+    changes = {
+        "ingresses": ingress_count,
+        "start_kind": start_kind,
+        "longest_notice_s": notice_s,
+        "load": 1.2,
+    }
     job = SMALL_FLEET_JOB.model_copy(update=changes)
     record = Fleet(job).simulate()
     usage = measure_window_usage(job, list(record.arrivals_from_informed.values()))
--- a/tests/scale/test_results.py
+++ b/tests/scale/test_results.py
@@ -1,4 +1,4 @@
-"""Tests of saving and loading results, and of the environment and the commit that a result records."""
+"""Tests of results: saving, loading and rejecting them, and the environment and commit that they record."""
 
 from __future__ import annotations
 
@@ -62,7 +62,7 @@
 
 
 @pytest.mark.parametrize(
-    ("text", "named"),
+    ("text", "faulty_part"),
     [
         ("{", "the file"),
         ("[]", "the file"),
@@ -71,10 +71,10 @@
         (make_result().model_dump_json()[:-1] + ', "host": "x"}', "host"),
     ],
 )
-def test_invalid_result_file_names_the_faulty_field(text: str, named: str, tmp_path: Path) -> None:
+def test_invalid_result_file_names_the_faulty_field(text: str, faulty_part: str, tmp_path: Path) -> None:
     path = tmp_path / "slopes-x.json"
     path.write_text(text, encoding="utf-8")
-    with pytest.raises(ResultError, match=rf"slopes-x.json: .*{named}") as caught:
+    with pytest.raises(ResultError, match=rf"slopes-x.json: .*{faulty_part}") as caught:
         load_result(path)
     assert "\n" not in str(caught.value)
 
--- a/tests/scale/test_scenario.py
+++ b/tests/scale/test_scenario.py
@@ -1,4 +1,4 @@
-"""Tests of reading scenarios, and of the check that the machine has the resources that a scenario needs."""
+"""Tests of scenarios: shipped ones load, errors name the field, and the machine must have the resources."""
 
 from __future__ import annotations
 
@@ -64,15 +64,17 @@
 ]
 
 
-@pytest.mark.parametrize(("changes", "named"), INVALID_FIELDS)
-def test_invalid_field_is_named_in_one_line(changes: dict[str, str], named: str, tmp_path: Path) -> None:
+@pytest.mark.parametrize(("changes", "faulty_part"), INVALID_FIELDS)
+def test_invalid_field_is_named_in_one_line(
+    changes: dict[str, str], faulty_part: str, tmp_path: Path
+) -> None:
     path = tmp_path / "wrong.toml"
     path.write_text(make_toml(**changes), encoding="utf-8")
     with pytest.raises(ScenarioError) as caught:
         load_scenario(path)
     text = str(caught.value)
     assert text.startswith("wrong.toml: ")
-    assert named in text
+    assert faulty_part in text
     assert "\n" not in text
 
 
@@ -92,9 +94,9 @@
 ]
 
 
-@pytest.mark.parametrize(("need", "named"), EXCESSIVE_NEEDS)
-def test_exceeded_resource_is_named_in_the_error(need: dict[str, Any], named: str) -> None:
-    with pytest.raises(InsufficientResourcesError, match=named):
+@pytest.mark.parametrize(("need", "resource"), EXCESSIVE_NEEDS)
+def test_exceeded_resource_is_named_in_the_error(need: dict[str, Any], resource: str) -> None:
+    with pytest.raises(InsufficientResourcesError, match=resource):
         budget.check_resources(ResourceNeeds(**need), LARGE_MACHINE)
 
 
--- a/tests/scale/test_slopes.py
+++ b/tests/scale/test_slopes.py
@@ -39,8 +39,8 @@
         update={"sizes": build_sizes(backends=4_000, ingresses=400, tenants=2_000)}
     )
     many_backends = measure_operations(large_fleet_job).measures
-    # With 20 times as many backends, the subset has 20 backends instead of 12, and the subset and the reserve
-    # together have 264 instead of 200.
+    # With 20 times as many backends, a choice compares the 20 backends of a subset instead of 12, and a
+    # change moves the 264 candidates of subset and reserve instead of 200.
     assert many_backends["request_calls_p50"] / few_backends["request_calls_p50"] <= 2.0
     assert many_backends["change_calls"] / few_backends["change_calls"] <= 2.0
 
--- a/tests/simulator/test_adapter.py
+++ b/tests/simulator/test_adapter.py
@@ -91,7 +91,7 @@
 
 
 @pytest.mark.parametrize(
-    ("line", "named"),
+    ("input_text", "malformed_part"),
     [
         ("{", "line 1"),
         ("[]", "object"),
@@ -102,9 +102,9 @@
         ('{"m":"BeginBatch","ts-s":1}\n', "inside a batch"),
     ],
 )
-def test_error_names_the_malformed_part(line: str, named: str) -> None:
-    with pytest.raises(MalformedInputError, match=named):
-        serve_text(line)
+def test_error_names_the_malformed_part(input_text: str, malformed_part: str) -> None:
+    with pytest.raises(MalformedInputError, match=malformed_part):
+        serve_text(input_text)
 
 
 def test_error_for_invalid_settings_names_the_field() -> None:
--- a/tests/support/pool.py
+++ b/tests/support/pool.py
@@ -54,7 +54,7 @@
         self.update_endpoints(*((Backend(f"s{n}"), address) for n, address in enumerate(addresses)))
 
     def update_endpoints(self, *entries: tuple[Backend, Address], is_complete_list: bool = True) -> None:
-        """Pass the pool a complete endpoint list, or only the changed entries if `full` is false."""
+        """Pass the pool a complete endpoint list, or changed entries if `is_complete_list` is false."""
         backends = tuple(backend for backend, _ in entries)
         addresses = {backend.id: address for backend, address in entries}
         self.pool.update_endpoints(is_complete_list, backends, addresses)
--- a/tests/support/quota.py
+++ b/tests/support/quota.py
@@ -63,10 +63,10 @@
 
 def reply_to_counter_calls(harness: GatewayHarness, outcome: Outcome, total: float = 0.0) -> int:
     """Reply to the counter calls in flight, and answer the attempts sent then; return the call count."""
-    count_names = list(harness.gateway.counter.calls.in_flight)
-    for count_name in count_names:
+    called_names = list(harness.gateway.counter.calls.in_flight)
+    for called_name in called_names:
         for attempt in find_sent_attempts(
-            harness.deliver_event(0.0, CounterReply(count_name, outcome, total, 0.001))
+            harness.deliver_event(0.0, CounterReply(called_name, outcome, total, 0.001))
         ):
             harness.end_attempt(attempt, Outcome.OK, 0.0)
-    return len(count_names)
+    return len(called_names)
--- a/tests/support/sockets.py
+++ b/tests/support/sockets.py
@@ -1,4 +1,4 @@
-"""Loopback addresses to which connections fail."""
+"""Loopback addresses to which no connection can be established."""
 
 from __future__ import annotations
 
--- a/tests/test_errors.py
+++ b/tests/test_errors.py
@@ -1,4 +1,4 @@
-"""Tests of the exception classes that the program defines."""
+"""Test that the exception classes of the program form one hierarchy."""
 
 from __future__ import annotations
 
--- a/tests/test_readme.py
+++ b/tests/test_readme.py
@@ -1,4 +1,4 @@
-"""Test that the example in README.md runs."""
+"""Test that the example in README.md runs as printed."""
 
 from __future__ import annotations
 
--- a/tests/upstream/test_connection.py
+++ b/tests/upstream/test_connection.py
@@ -32,7 +32,7 @@
 
 
 @pytest.mark.parametrize(
-    ("answer", "outcome", "found"),
+    ("reply", "outcome", "value"),
     [
         (encode_value_reply(b"hello"), Outcome.OK, b"hello"),
         (encode_value_reply(b""), Outcome.OK, b""),
@@ -54,12 +54,12 @@
         (b"hello\r\n", Outcome.ERROR, None),
     ],
 )
-def test_reply_determines_outcome_and_value(answer: bytes, outcome: Outcome, found: bytes | None) -> None:
+def test_reply_determines_outcome_and_value(reply: bytes, outcome: Outcome, value: bytes | None) -> None:
     async def body() -> None:
-        async with make_scripted_backend(answer) as peer:
+        async with make_scripted_backend(reply) as peer:
             pool = PoolUnderTest(peer.address)
             pool.start_attempt()
-            assert await pool.wait_for_result() == (outcome, found)
+            assert await pool.wait_for_result() == (outcome, value)
 
     run_async_test(body())
 
@@ -86,11 +86,11 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("partly", [b"", b"*3\r\n$5\r\nhel"])
-def test_connection_closed_before_the_complete_reply_is_a_reset(partly: bytes) -> None:
+@pytest.mark.parametrize("partial_reply", [b"", b"*3\r\n$5\r\nhel"])
+def test_connection_closed_before_the_complete_reply_is_a_reset(partial_reply: bytes) -> None:
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         await read_command(reader)
-        writer.write(partly)
+        writer.write(partial_reply)
 
     async def body() -> None:
         async with ScriptedServer(script) as peer:
@@ -102,8 +102,8 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("cancel", [True, False])
-def test_abandoned_attempt_closes_its_connection_before_its_outcome_is_reported(cancel: bool) -> None:
+@pytest.mark.parametrize("is_cancelled", [True, False])
+def test_abandoned_attempt_closes_its_connection_before_its_outcome_is_reported(is_cancelled: bool) -> None:
     """Two attempts of a request must not be in flight together, even for one iteration of the event loop."""
 
     async def body() -> None:
@@ -120,13 +120,15 @@
                 received_after_close.append(peer.recv(100))
 
             pool.pool.on_attempt_end = record_end
-            attempt = pool.start_attempt(timeout_s=5.0 if cancel else 0.2)
+            attempt = pool.start_attempt(timeout_s=5.0 if is_cancelled else 0.2)
             peer, _ = await loop.sock_accept(server)
             peer.setblocking(False)
             assert (await loop.sock_recv(peer, 4096)).endswith(b"\r\n")
-            if cancel:
+            if is_cancelled:
                 pool.pool.cancel_attempt(attempt)
-            assert (await pool.wait_for_result())[0] is (Outcome.CANCELLED if cancel else Outcome.TIMEOUT)
+            assert (await pool.wait_for_result())[0] is (
+                Outcome.CANCELLED if is_cancelled else Outcome.TIMEOUT
+            )
             assert received_after_close == [b""]
             peer.close()
 
@@ -134,6 +136,8 @@
 
 
 def test_unsolicited_second_reply_closes_the_connection() -> None:
+    """Guard against passing the second reply to another request."""
+
     async def body() -> None:
         async with make_scripted_backend(encode_value_reply(b"one") + encode_value_reply(b"two")) as peer:
             pool = PoolUnderTest(peer.address)
@@ -242,6 +246,8 @@
     ],
 )
 def test_malformed_reply_is_an_error_and_closes_the_connection(malformed: bytes) -> None:
+    """The backend may have executed the attempt, so the outcome must not say that it has not."""
+
     async def body() -> None:
         async with make_scripted_backend(malformed) as peer:
             pool = PoolUnderTest(peer.address)
@@ -284,8 +290,8 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("how", ["reset", "time is up", "client left"])
-def test_partly_written_attempt_counts_as_not_executed(how: str) -> None:
+@pytest.mark.parametrize("end_cause", ["reset", "time is up", "client left"])
+def test_partly_written_attempt_counts_as_not_executed(end_cause: str) -> None:
     """The connection accepts only part of a large command before the attempt ends in one of three ways."""
 
     async def body() -> None:
@@ -295,18 +301,18 @@
             server.setblocking(False)
             pool = PoolUnderTest(server.getsockname())
             attempt = pool.start_attempt(
-                timeout_s=0.5 if how == "time is up" else 5.0,
+                timeout_s=0.5 if end_cause == "time is up" else 5.0,
                 command_parts=(*COMMAND_PARTS[:2], LARGE_ARGUMENT),
             )
             peer, _ = await loop.sock_accept(server)
             await wait_until(lambda: attempt.connection is not None)
             assert not attempt.is_fully_written()
-            if how == "reset":
+            if end_cause == "reset":
                 peer.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER, struct.pack("ii", 1, 0))
                 peer.close()
-            elif how == "client left":
+            elif end_cause == "client left":
                 pool.pool.cancel_attempt_if_unsent(attempt)
-            outcome = Outcome.SUPERSEDED if how == "client left" else Outcome.CONNECT_FAILED
+            outcome = Outcome.SUPERSEDED if end_cause == "client left" else Outcome.CONNECT_FAILED
             assert await pool.wait_for_result() == (outcome, None)
             peer.close()
             await wait_until(lambda: pool.pool.connection_count == 0)
@@ -315,6 +321,8 @@
 
 
 def test_fully_written_attempt_is_not_cancelled_when_its_client_leaves() -> None:
+    """The backend may execute the attempt, so the attempt stays in flight until its reply arrives."""
+
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         assert len((await read_command(reader))[4]) == 8_000_000
         command_read.set()
--- a/tests/upstream/test_endpoint.py
+++ b/tests/upstream/test_endpoint.py
@@ -254,8 +254,8 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("back", ["same", "elsewhere"])
-def test_waiting_attempt_fails_if_its_backend_is_removed_and_listed_again(back: str) -> None:
+@pytest.mark.parametrize("relisted_address", ["same", "elsewhere"])
+def test_waiting_attempt_fails_if_its_backend_is_removed_and_listed_again(relisted_address: str) -> None:
     async def body() -> None:
         async with make_scripted_backend() as peer, make_scripted_backend() as other_peer:
             pool = PoolUnderTest(peer.address)
@@ -264,14 +264,14 @@
                 (Backend("s0", readiness=Readiness.REMOVED), peer.address), is_complete_list=False
             )
             pool.update_endpoints(
-                (Backend("s0"), peer.address if back == "same" else other_peer.address),
+                (Backend("s0"), peer.address if relisted_address == "same" else other_peer.address),
                 is_complete_list=False,
             )
             assert await pool.wait_for_result() == (Outcome.CONNECT_FAILED, None)
             pool.start_attempt()
             assert (await pool.wait_for_result(2))[0] is Outcome.OK
-            assert len(peer.received_commands) == (back == "same")
-            assert len(other_peer.received_commands) == (back != "same")
+            assert len(peer.received_commands) == (relisted_address == "same")
+            assert len(other_peer.received_commands) == (relisted_address != "same")
             await wait_until(lambda: pool.pool.connection_count == 1)
 
     run_async_test(body())
--- a/tests/upstream/test_pool.py
+++ b/tests/upstream/test_pool.py
@@ -14,6 +14,8 @@
 
 
 def test_attempt_on_a_refused_connection_is_connect_failed() -> None:
+    """The backend cannot have executed the attempt, and the outcome must say so."""
+
     async def body() -> None:
         pool = PoolUnderTest(find_refusing_address())
         pool.start_attempt()
@@ -26,6 +28,8 @@
 
 @pytest.mark.parametrize("timeout_s", [5.0, 0.05])
 def test_attempt_without_a_connection_in_time_is_connect_failed(timeout_s: float) -> None:
+    """The backend cannot have executed the attempt, and the outcome must say so."""
+
     async def body() -> None:
         with unresponsive_address() as address:
             pool = PoolUnderTest(address, connect_timeout_s=0.1)
@@ -76,8 +80,8 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("fresh", [True, False])
-def test_retry_is_not_written_after_its_write_deadline(fresh: bool) -> None:
+@pytest.mark.parametrize("uses_new_connection", [True, False])
+def test_retry_is_not_written_after_its_write_deadline(uses_new_connection: bool) -> None:
     """A retry after the deduplication window of its backend would take effect a second time."""
 
     async def body() -> None:
@@ -85,18 +89,18 @@
             pool = PoolUnderTest(peer.address)
             now = 100.0
             pool.pool.clock = lambda: now
-            if not fresh:
+            if not uses_new_connection:
                 pool.start_attempt()
                 assert (await pool.wait_for_result())[
                     0
                 ] is Outcome.OK  # leaves a connection in its reuse delay
             pool.start_attempt(max_write_delay_s=1.0)
             now += 0.995  # the time at which a connection is established or may be reused
-            assert await pool.wait_for_result(2 - fresh) == (Outcome.SUPERSEDED, None)
+            assert await pool.wait_for_result(2 - uses_new_connection) == (Outcome.SUPERSEDED, None)
             now += 1.0
             pool.start_attempt(max_write_delay_s=1.0)  # the connection is still usable
-            assert (await pool.wait_for_result(3 - fresh))[0] is Outcome.OK
-            assert len(peer.received_commands) == 2 - fresh
+            assert (await pool.wait_for_result(3 - uses_new_connection))[0] is Outcome.OK
+            assert len(peer.received_commands) == 2 - uses_new_connection
             assert peer.connection_count == 1
 
     run_async_test(body())
