--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -45,7 +45,7 @@
 
 
 def agent_with_list(endpoint_list: bytes, port: int) -> ScriptedServer:
-    """Return a discovery agent whose first answer is the endpoint list and whose later ones are empty."""
+    """Return a discovery agent that sends the endpoint list once, and then responses without changes."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
