--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -52,8 +52,8 @@
     waiting_id = get_customer(harness).requests_awaiting_counter[0].id
     call = list_counter_calls(harness)[-1]
     assert call.add >= 1.0  # the units of the waiting request are added with the call
-    answer = harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, float(sent_count + 1)))
-    assert [s.id for s in find_sent_attempts(answer)] == [waiting_id]
+    actions = harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, float(sent_count + 1)))
+    assert [s.id for s in find_sent_attempts(actions)] == [waiting_id]
 
 
 def test_undersized_slice_asks_the_counter_and_its_total_decides() -> None:
@@ -62,10 +62,10 @@
         harness.gateway.counter.sampling.rate = 1.0
         harness.now = get_count_start_time(3)  # the customer's count has just begun
         assert not find_sent_attempts(harness.deliver_request(assigned_instances=100))
-        answer = harness.deliver_event(
+        actions = harness.deliver_event(
             0.001, CounterReply(list_counter_calls(harness)[-1].name, Outcome.OK, total, 0.001)
         )
-        assert bool(find_sent_attempts(answer)) is is_sent
+        assert bool(find_sent_attempts(actions)) is is_sent
 
 
 def test_customer_is_limited_to_its_slice_while_the_counter_fails() -> None:
--- a/tests/decisions/test_correction_lease.py
+++ b/tests/decisions/test_correction_lease.py
@@ -172,8 +172,8 @@
     harness.now = COUNT_STARTED_AT + 20.0
     harness.gateway.counter.sampling.rate = 1.0
     [call] = find_counter_calls(harness.deliver_request(assigned_instances=GATEWAYS))
-    answer = harness.deliver_event(ONE_WAY_S, CounterReply(call.name, Outcome.OK, 1.0))
-    [lease] = find_counter_calls(answer)
+    actions = harness.deliver_event(ONE_WAY_S, CounterReply(call.name, Outcome.OK, 1.0))
+    [lease] = find_counter_calls(actions)
     assert lease.name != call.name
     assert lease.add == 1.0
     assert lease.lifetime == pytest.approx(10 * FLEET_SETTINGS.counter_timeout)
@@ -196,9 +196,9 @@
     """Send a request, grant all leases, and return the units that are added as corrections."""
     harness.deliver_request(assigned_instances=100)
     call = find_counter_calls(harness.actions)[-1]
-    answer = harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, total, 0.001))
-    added = [a.add for a in answer if isinstance(a, IncrementCounter) and a.name == call.name]
-    for lease in [a for a in answer if isinstance(a, IncrementCounter) and a.name != call.name]:
+    actions = harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, total, 0.001))
+    added = [a.add for a in actions if isinstance(a, IncrementCounter) and a.name == call.name]
+    for lease in [a for a in actions if isinstance(a, IncrementCounter) and a.name != call.name]:
         granted = harness.deliver_event(0.001, CounterReply(lease.name, Outcome.OK, 1.0, 0.001))
         added += [a.add for a in granted if isinstance(a, IncrementCounter)]
     for name in list(harness.gateway.counter.calls.in_flight):
--- a/tests/decisions/test_usage_counter.py
+++ b/tests/decisions/test_usage_counter.py
@@ -22,11 +22,11 @@
     for _ in range(3):
         assert not find_sent_attempts(harness.deliver_request(assigned_instances=100, units=4.0))
     assert len(list_counter_calls(harness)) == 1
-    answer = harness.deliver_event(
+    actions = harness.deliver_event(
         0.001, CounterReply(list_counter_calls(harness)[-1].name, Outcome.OK, 4.0, 0.001)
     )
-    assert len(find_sent_attempts(answer)) == 2  # burst 8
-    assert [call.add for call in find_counter_calls(answer)] == [4.0]  # the units of the second request
+    assert len(find_sent_attempts(actions)) == 2  # burst 8
+    assert [call.add for call in find_counter_calls(actions)] == [4.0]  # the units of the second request
 
 
 def test_first_total_includes_the_units_of_the_request_that_awaits_it() -> None:
@@ -48,9 +48,9 @@
     call = list_counter_calls(harness)[-1]
     assert call.add == 6.0
     total = call.add + 5.0  # 3 of 8 units are left
-    answer = harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, total, 0.001))
-    assert isinstance(answer[0], Reject)
-    assert [call.add for call in find_counter_calls(answer)] == [-6.0]
+    actions = harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, total, 0.001))
+    assert isinstance(actions[0], Reject)
+    assert [call.add for call in find_counter_calls(actions)] == [-6.0]
     harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, 5.0, 0.001))
     harness.now += 1.0
     harness.deliver_request(assigned_instances=100, units=3.0)
--- a/tests/downstream/test_commands.py
+++ b/tests/downstream/test_commands.py
@@ -73,10 +73,10 @@
     async def body() -> None:
         async with running_ingress(make_config()) as (_, address):
             caller = await RespClient.connect(address)
-            answer = await caller.send_and_read_reply(data)
-            assert isinstance(answer, hiredis.ReplyError)
-            assert str(answer).startswith("ERR ")
-            assert reason in str(answer)
+            reply = await caller.send_and_read_reply(data)
+            assert isinstance(reply, hiredis.ReplyError)
+            assert str(reply).startswith("ERR ")
+            assert reason in str(reply)
             assert await caller.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
 
     with caplog.at_level(logging.WARNING):
--- a/tests/downstream/test_idle_connections.py
+++ b/tests/downstream/test_idle_connections.py
@@ -50,6 +50,7 @@
 
 
 def test_new_connection_is_not_evicted_before_its_minimum_age() -> None:
+    """Until then, its first command may still be on the way."""
     queues = IdleConnections()
     new = make_connection(idle_since=NOW)
     queues.add_new(new)
--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -69,12 +69,12 @@
     A backend can answer only once the ingress has fetched the endpoint list.
     """
     customer = 0
-    answers = set[bytes | str]()
-    while b"00000000000000aa" not in answers or not counter_peer.received_commands:
+    replies = set[bytes | str]()
+    while b"00000000000000aa" not in replies or not counter_peer.received_commands:
         customer += 1
         with suppress(EOFError, ConnectionError):
             caller = await RespClient.connect(address)
-            answers.add(await caller.send_and_read_reply(make_command(customer=customer)))
+            replies.add(await caller.send_and_read_reply(make_command(customer=customer)))
         await asyncio.sleep(0.05)
 
 
--- a/tests/support/definitions.py
+++ b/tests/support/definitions.py
@@ -51,7 +51,7 @@
 
 
 def _find_variable_names(scope: ast.Module | Definition) -> set[str]:
-    """Return the variables and imported names of a scope; of a class also the attributes set on `self`."""
+    """Return the variables, fields and imported names of a scope; of a class also attributes of `self`."""
     names = {name for node in scope.body for name in _find_bound_names(node)}
     if isinstance(scope, ast.ClassDef):
         names |= {
--- a/tests/support/imports.py
+++ b/tests/support/imports.py
@@ -63,7 +63,7 @@
 
 
 def find_cycles(graph: ImportGraph) -> list[list[str]]:
-    """Return the sorted groups of modules that import each other, directly or indirectly."""
+    """Return the groups of modules that import each other, directly or indirectly; sorted, each group too."""
     reachable = {name: _find_reachable(graph, name) for name in graph}
     groups = {
         tuple(sorted(other for other in reachable[name] if name in reachable.get(other, ())))
--- a/tests/upstream/test_attempt.py
+++ b/tests/upstream/test_attempt.py
@@ -1,4 +1,4 @@
-"""Tests of an attempt's command, in which the remaining time replaces the deadline set by the client."""
+"""Tests of an attempt's command, in which the remaining time replaces the time set by the client."""
 
 from __future__ import annotations
 
