--- a/tests/process/test_descriptors.py
+++ b/tests/process/test_descriptors.py
@@ -45,7 +45,7 @@
 
 
 def agent_with_list(endpoint_list: bytes, port: int) -> ScriptedServer:
-    """Return a discovery agent whose first answer is the endpoint list and whose later ones are empty."""
+    """Return a discovery agent that sends the endpoint list once, and then responses without changes."""
 
     async def script(_: int, reader: Reader, writer: Writer) -> None:
         while head := await reader.readuntil(b"\r\n\r\n"):
@@ -69,12 +69,12 @@
     A backend can answer only once the ingress has fetched the endpoint list.
     """
     customer = 0
-    answers = set[bytes | str]()
-    while b"00000000000000aa" not in answers or not counter_peer.received_commands:
+    replies = set[bytes | str]()
+    while b"00000000000000aa" not in replies or not counter_peer.received_commands:
         customer += 1
         with suppress(EOFError, ConnectionError):
             caller = await RespClient.connect(address)
-            answers.add(await caller.send_and_read_reply(make_command(customer=customer)))
+            replies.add(await caller.send_and_read_reply(make_command(customer=customer)))
         await asyncio.sleep(0.05)
 
 
