--- a/tests/scale/standins/test_backends.py
+++ b/tests/scale/standins/test_backends.py
@@ -70,19 +70,23 @@
         backend.begin_cold_start(time.time())
         await client.send_and_read_reply(make_command("00000000000000bb"))
         assert sum(backend.queue.cold_units.values()) == 1
-        assert backend.queue.calculate_capacity(backend.queue.started_at) == pytest.approx(200)
-        assert backend.queue.calculate_capacity(backend.queue.started_at + 10) == pytest.approx(1000)
+        assert backend.queue.calculate_capacity_at(backend.queue.started_at) == pytest.approx(200)
+        assert backend.queue.calculate_capacity_at(backend.queue.started_at + 10) == pytest.approx(1000)
         backend.close()
 
     run_async_test(body())
 
 
-@pytest.mark.parametrize("bad", [encode_resp_array(b"API.READ", b"1"), b"*1\r\n:3\r\n", b"!x\r\n", b"*0\r\n"])
-def test_malformed_command_is_answered_with_syntax_and_closes_the_connection(bad: bytes) -> None:
+@pytest.mark.parametrize(
+    "malformed_command", [encode_resp_array(b"API.READ", b"1"), b"*1\r\n:3\r\n", b"!x\r\n", b"*0\r\n"]
+)
+def test_malformed_command_is_answered_with_syntax_and_closes_the_connection(
+    malformed_command: bytes,
+) -> None:
     async def body() -> None:
         backend = BackendServer(FAST_BACKEND, random.Random(1))
         reader, writer = await asyncio.open_connection(*await backend.listen())
-        writer.write(bad)
+        writer.write(malformed_command)
         assert await reader.read() == b"-SYNTAX\r\n"
         backend.close()
 
