--- a/ingress/decisions/answer_times.py
+++ b/ingress/decisions/answer_times.py
@@ -19,7 +19,7 @@
         self.mean_by_class: dict[str, float] = {}
         """Smoothed answer time in seconds by class name, for classes that have had an answer."""
 
-    def mean(self, request_class: api.RequestClass) -> float:
+    def get_mean(self, request_class: api.RequestClass) -> float:
         """Return the mean answer time of the class in seconds.
 
         Before the first answer, assume a fixed fraction of the latency objective.
@@ -27,8 +27,12 @@
         initial = request_class.latency_objective / INITIAL_MEAN_DIVISOR
         return max(self.mean_by_class.get(request_class.name, initial), self.min_mean_s)
 
-    def record(self, request_class: api.RequestClass, latency: float) -> None:
-        """Include an answer that took `latency` seconds, capped at the class's latency objective."""
+    def record_answer(self, request_class: api.RequestClass, latency: float) -> None:
+        """Include an answer that took `latency` seconds.
+
+        The first answer initializes the mean.  Each answer then moves the mean towards its latency, which
+        counts as at most the class's latency objective.
+        """
         mean = self.mean_by_class.setdefault(request_class.name, latency)
         self.mean_by_class[request_class.name] = mean + SLOW_SMOOTHING_FACTOR * (
             min(latency, request_class.latency_objective) - mean
@@ -38,8 +42,8 @@
         """Include a request of `units` in the mean size of a request."""
         self.mean_request_units += (units - self.mean_request_units) * SLOW_SMOOTHING_FACTOR
 
-    def expected_work(self, request: PendingRequest) -> float:
-        """Return the work that the request is expected to cause, as a multiple of the mean request's."""
-        mean = self.mean(request.request_class)
+    def estimate_work(self, request: PendingRequest) -> float:
+        """Return the work that the request is expected to cause, as a multiple of a mean request's work."""
+        mean = self.get_mean(request.request_class)
         means = self.mean_by_class.values() or [mean]
         return mean * len(means) / sum(means) * request.units / max(self.mean_request_units, MIN_MEAN_UNITS)
--- a/ingress/decisions/balancer.py
+++ b/ingress/decisions/balancer.py
@@ -11,13 +11,19 @@
 from ingress.decisions.slow_start import SlowStart
 from ingress.decisions.subset import Subsetting
 
-STALL_FACTOR = 4.0  # mean answer times: a backend that owes answers and is silent for longer has stalled
-MIN_HEALTHY_SHARE = 0.5  # of the compared backends; with fewer healthy, ejection is suspended (panic mode)
-SUBSET_ATTEMPTS = 2  # attempts of a request to the subset; further ones use the reserve (subset may be down)
+# A backend with attempts in flight that answers none for more than this many mean answer times of the slowest
+# class counts as stalled.
+STALL_FACTOR = 4.0
+MIN_HEALTHY_SHARE = 0.5  # of the usable backends; if fewer are healthy, ejection is suspended (panic mode)
+# First attempts of a request, which prefer the subset.  Later ones prefer the reserve, as the subset may be
+# down.
+SUBSET_ATTEMPTS = 2
 MAX_COMPARED = 32  # backends of the subset or the reserve that are compared for one attempt
 MAX_FALLBACK_COMPARED = 256  # candidates that are compared if none of the first sample has room
 MAX_SAMPLED_READY = 16  # ready backends that are compared if no candidate has room
-DECREASE_INTERVAL_SHARE = 0.25  # of the longest latency objective: between decreases without an answer
+# Share of the longest latency objective: the shortest time between two decreases of the limit of a backend
+# that answers nothing.
+DECREASE_INTERVAL_SHARE = 0.25
 
 
 class LoadBalancer:
@@ -35,7 +41,7 @@
         self.candidate_set = CandidateSet(settings, rng)
         """The backends that attempts may go to."""
         self.slow_start = SlowStart(settings, self.candidate_set)
-        """Limits the load on backends that warm up."""
+        """Limits the load on backends that are warming up."""
 
     @property
     def ready_backends(self) -> dict[str, api.Backend]:
@@ -77,7 +83,7 @@
         self.candidate_set.apply_update(event, now)
 
     def add_attempt(self, backend: TrackedBackend, key: AttemptKey, now: float) -> None:
-        """Add an attempt that was sent to the attempts in flight at the backend."""
+        """Add an attempt, sent at the time `now`, to those in flight at the backend."""
         self.candidate_set.add_attempt(backend, key, now)
 
     def remove_attempt(self, backend: TrackedBackend, key: AttemptKey) -> float:
@@ -95,14 +101,14 @@
         """Return whether the backend is warm, or its slow-start budget has room for the request's work."""
         if not backend.is_warming_up(now, self.settings):
             return True
-        return self.slow_start.allows(backend, now, self.answer_times.expected_work(request))
+        return self.slow_start.allows_request(backend, now, self.answer_times.estimate_work(request))
 
     def choose_backend(
         self, request: PendingRequest, now: float, is_exploratory: bool = False
     ) -> TrackedBackend | None:
         """Return the backend for one more attempt, or None if no backend that was compared has room.
 
-        The choice is made from the subset (for later attempts, the reserve), else from all candidates, else
+        The choice is made from the subset (for later attempts, the reserve), else from the candidates, else
         from a random sample of all ready backends.  An exploratory attempt goes to an idle backend of the
         reserve, to find out whether an overload extends beyond the subset.
         """
@@ -124,16 +130,19 @@
     def _choose_among(
         self, request: PendingRequest, now: float, compared: list[TrackedBackend]
     ) -> TrackedBackend | None:
-        """Return the least loaded of the backends that may get the request now, or None if none may."""
+        """Return the least loaded of the backends that may get the request now, or None if none may.
+
+        If the chosen backend is warming up, take the request's work from its slow-start budget.
+        """
         usable = [b for b in compared if request.may_send(b, now, self.settings)]
         healthy_ids = self._find_healthy_ids(usable, now)
         more_can_be_compared = len(compared) < len(self.candidate_set.candidates)
         if not healthy_ids and more_can_be_compared:
-            return None  # the caller compares more backends, which shows whether all share a common fault
+            return None  # the caller compares more backends, to find out whether they have a common fault
         eligible = self._find_eligible_backends(request, now, usable, healthy_ids)
         chosen = self._find_least_loaded(request, now, eligible)
         if chosen is not None and chosen.is_warming_up(now, self.settings):
-            chosen.slow_start_budget.take_units(self.answer_times.expected_work(request))
+            chosen.slow_start_budget.take_units(self.answer_times.estimate_work(request))
         return chosen
 
     def _find_healthy_ids(self, backends: list[TrackedBackend], now: float) -> set[str]:
@@ -145,7 +154,9 @@
         longest_mean = max(self.answer_times.mean_by_class.values(), default=self.longest_objective)
         max_silence = STALL_FACTOR * longest_mean
         return {
-            b.entry.id for b in backends if b.silence_duration(now) <= max_silence and not b.is_ejected(now)
+            b.entry.id
+            for b in backends
+            if b.get_silence_duration(now) <= max_silence and not b.is_ejected(now)
         }
 
     def _find_eligible_backends(
@@ -166,8 +177,9 @@
                 continue
             if skips_tried and backend_id in tried_ids:
                 continue
-            # An overloaded backend may answer nothing, so that no answer would decrease its limit.
-            if backend.silence_duration(now) > self.longest_objective:
+            # An overloaded backend may answer nothing, so that no answer would decrease its limit.  A long
+            # silence therefore decreases the limit too.
+            if backend.get_silence_duration(now) > self.longest_objective:
                 backend.decrease_limit(now, DECREASE_INTERVAL_SHARE * self.longest_objective)
             if len(backend.attempts_in_flight) < backend.concurrency_limit.limit:
                 eligible.append(backend)
@@ -179,10 +191,10 @@
         """Return the backend with the lowest load score among those that slow start allows."""
         chosen = None
         lowest_score = float("inf")
-        mean_answer_time = self.answer_times.mean(request.request_class)
+        mean_answer_time = self.answer_times.get_mean(request.request_class)
         for backend in eligible:
             tie_break = self.rng.expovariate(1.0)
-            score = backend.load_score(
+            score = backend.compute_load_score(
                 now, mean_answer_time, self.longest_objective, self.settings.zone, tie_break
             )
             if score < lowest_score and self.slow_start_allows(backend, now, request):
--- a/ingress/decisions/request_decision.py
+++ b/ingress/decisions/request_decision.py
@@ -52,9 +52,9 @@
         is_shed = shed_share > self.request_ranking.rank_request(request)
         # The overload may be limited to the subset, so one request at a time is sent outside of it instead of
         # being shed.
-        explore = is_shed and self.overload_detector.exploratory_attempt is None
-        is_admitted = is_within_limits and (not is_shed or explore)
-        if not is_admitted or not self.attempt_tracker.send_attempt(now, request, explore):
+        is_exploratory = is_shed and self.overload_detector.exploratory_attempt is None
+        is_admitted = is_within_limits and (not is_shed or is_exploratory)
+        if not is_admitted or not self.attempt_tracker.send_attempt(now, request, is_exploratory):
             self.final_answers.finish_request(request)
 
     def _is_within_limits(self, now: float, request: PendingRequest, shed_share: float) -> bool:
@@ -74,7 +74,7 @@
         waiting_requests = customer.requests_awaiting_counter
         customer.requests_awaiting_counter = []
         for request in waiting_requests:
-            # `Customer` cannot import `PendingRequest`, which imports it; `RequestIntake` adds no other type.
+            # The list holds only `PendingRequest`s; its declared type avoids a circular import in `customer`.
             self.decide(now, cast(PendingRequest, request))
         if event.outcome is api.Outcome.OK:
             self.counter.correct_count(now, customer)
--- a/ingress/discovery/backoff.py
+++ b/ingress/discovery/backoff.py
@@ -1,4 +1,4 @@
-"""Compute the delay before a failed call to the discovery agent is retried.
+"""Compute the delay before the retry of a failed call to the discovery agent.
 
 The delays are random (jitter), so that gateways whose calls failed at the same time do not retry at the same
 time.  An overloaded service would otherwise never recover.
@@ -14,8 +14,8 @@
     margin                                NOTIFICATION_MARGIN_S         0.25 s
     total                                 NOTIFIED_WITHIN_S             6.00 s
 
-The delay after any other failure is at most `max_backoff_s`, which is shorter.  A long poll whose connection
-stops working takes less time, too:
+The delay after any other failure is at most `max_backoff_s`, which is shorter.  The times add up to less
+if the connection of a long poll stops working:
 
     timeout of the lost long poll         WATCH_WAIT_MS                 1.00 s
                                           watch_grace_s                 2.25 s
@@ -24,7 +24,7 @@
     margin                                NOTIFICATION_MARGIN_S         0.25 s
     total                                                               5.75 s
 
-With an agent that pushes changes, each of these calls takes less time.
+With an agent that pushes changes, each step takes less time.
 """
 
 from __future__ import annotations
@@ -41,7 +41,7 @@
 )
 
 INITIAL_BACKOFF_S = 0.1  # upper bound of the first delay; each further failure doubles the bound
-MAX_TIMEOUT_BACKOFF_S = 0.25  # short, since the timeout itself has already spaced the calls
+MAX_TIMEOUT_BACKOFF_S = 0.25  # short, since the timeout has already delayed the retry
 # The agent serves one call after another, so a call that it rejects delays the calls of other gateways.
 # Retries of rejected calls therefore start later and may be delayed longer.
 INITIAL_REJECTED_BACKOFF_S = 0.8
@@ -55,36 +55,38 @@
 MAX_DOUBLINGS = 32  # prevents a float overflow; the upper bounds are reached long before
 
 
-def backoff_delay(failure_count: int, error: Exception, timing: WatchTiming, rng: random.Random) -> float:
-    """Return the delay in seconds before the retry of a call that failed with `error`.
+def draw_backoff_delay(
+    failure_count: int, error: Exception, timing: WatchTiming, rng: random.Random
+) -> float:
+    """Return a random delay in seconds before the retry of a call that failed with `error`.
 
     `failure_count` is the number of consecutive failed calls before this one.
     """
     if isinstance(error, DiscoveryRejectedError):
-        return rejected_backoff_delay(failure_count, rng)
+        return draw_rejected_backoff_delay(failure_count, rng)
     if isinstance(error, DiscoveryTimeoutError):
-        return jittered_delay(failure_count, min(timing.max_backoff_s, MAX_TIMEOUT_BACKOFF_S), rng)
-    return jittered_delay(failure_count, timing.max_backoff_s, rng)
+        return draw_jittered_delay(failure_count, min(timing.max_backoff_s, MAX_TIMEOUT_BACKOFF_S), rng)
+    return draw_jittered_delay(failure_count, timing.max_backoff_s, rng)
 
 
-def jittered_delay(failure_count: int, max_backoff_s: float, rng: random.Random) -> float:
-    """Return a delay in seconds by exponential backoff with full jitter."""
-    bound_s = _exponential_backoff_s(INITIAL_BACKOFF_S, failure_count)
+def draw_jittered_delay(failure_count: int, max_backoff_s: float, rng: random.Random) -> float:
+    """Return a random delay in seconds by exponential backoff with full jitter."""
+    bound_s = _compute_exponential_backoff_s(INITIAL_BACKOFF_S, failure_count)
     return rng.uniform(0.0, min(max_backoff_s, bound_s))
 
 
-def rejected_backoff_delay(failure_count: int, rng: random.Random) -> float:
-    """Return the delay in seconds after a rejected call.
+def draw_rejected_backoff_delay(failure_count: int, rng: random.Random) -> float:
+    """Return a random delay in seconds after a rejected call.
 
     The delay has full jitter (from 0 to the bound) while the bound grows, and equal jitter (from half the
     bound to the bound) once it is at its maximum.  Equal jitter sends a third fewer calls to an overloaded
     service.
     """
-    bound_s = _exponential_backoff_s(INITIAL_REJECTED_BACKOFF_S, failure_count)
+    bound_s = _compute_exponential_backoff_s(INITIAL_REJECTED_BACKOFF_S, failure_count)
     if bound_s >= MAX_REJECTED_BACKOFF_S:
         return rng.uniform(MAX_REJECTED_BACKOFF_S / 2, MAX_REJECTED_BACKOFF_S)
     return rng.uniform(0.0, min(MAX_REJECTED_BACKOFF_S, bound_s))
 
 
-def _exponential_backoff_s(initial_s: float, failure_count: int) -> float:
+def _compute_exponential_backoff_s(initial_s: float, failure_count: int) -> float:
     return initial_s * 2.0 ** min(failure_count, MAX_DOUBLINGS)
--- a/ingress/process/in_flight.py
+++ b/ingress/process/in_flight.py
@@ -30,9 +30,9 @@
     is_answered: bool = False
     """Whether the request has its final answer or its client has disconnected."""
     attempt: Attempt | None = None
-    """The attempt in flight; there is never more than one."""
+    """The attempt in flight, if any; there is never more than one."""
     deadline_timer: asyncio.TimerHandle | None = None
-    """Enforces a final answer shortly before the deadline."""
+    """The timer that enforces a final answer shortly before the deadline."""
 
 
 class InFlightRequests:
@@ -41,7 +41,7 @@
     def __init__(self, max_requests: int, max_bytes: int) -> None:
         self.max_requests = max_requests
         self.max_bytes = max_bytes
-        self.buffered_bytes = 0
+        self.buffered_bytes = 0  # estimated memory of the requests in flight
         self.unanswered_client_request_ids: set[bytes] = set()  # ids that the clients chose
         self._requests: dict[str, InFlightRequest] = {}
         self._added_count = 0
--- a/scale/experiment/cold_load.py
+++ b/scale/experiment/cold_load.py
@@ -1,4 +1,4 @@
-"""The load of cold backends, counted in windows, relative to the load that overloads them."""
+"""The load that cold backends received, relative to the load that overloads them."""
 
 from __future__ import annotations
 
@@ -9,10 +9,10 @@
 
 
 def cold_peak_ratio(model: BackendModel, units_by_start: dict[str, dict[int, float]]) -> float:
-    """Return the highest ratio, over all cold backends, of the units sent to the units that overload one.
+    """Return the highest ratio of the units that a cold backend received to the units that overload it.
 
-    Both are sums over the overload window.  `units_by_start` holds the units by counting window for each
-    start, whose key is ID@UNIX_TIME.
+    Both numbers are sums over a span of `fall_s` seconds; all such spans of each cold start are compared.
+    `units_by_start` has a key ID@UNIX_TIME for each cold start; its values are units by window.
     """
     window_count = max(1, round(model.fall_s / COLD_WINDOW_S))
     max_ratio = 0.0
@@ -33,11 +33,11 @@
     return max_ratio
 
 
-def merge_cold_units(units_by_worker: Iterable[dict[str, dict[int, float]]]) -> dict[str, dict[int, float]]:
-    """Return the sums of the units that the processes have counted."""
+def merge_cold_units(all_units: Iterable[dict[str, dict[int, float]]]) -> dict[str, dict[int, float]]:
+    """Return the units by start and window, summed over all processes."""
     merged: dict[str, dict[int, float]] = {}
-    for worker_units in units_by_worker:
-        for key, windows in worker_units.items():
+    for process_units in all_units:
+        for key, windows in process_units.items():
             merged_windows = merged.setdefault(key, {})
             for window, units in windows.items():
                 merged_windows[window] = merged_windows.get(window, 0.0) + units
--- a/scale/experiment/launch.py
+++ b/scale/experiment/launch.py
@@ -1,4 +1,4 @@
-"""Start the parts of a run and register their clean-up with the run's exit stack."""
+"""Start the parts of a run; the run's exit stack ends them, even after a failure."""
 
 from __future__ import annotations
 
@@ -20,19 +20,21 @@
 from scale.standins.counter import CounterServer
 from scale.standins.registry import Registry
 
-START_TIMEOUT_S = 60.0  # for a child process to be ready
-START_TIMEOUT_PER_INGRESS_S = 0.2  # added to it for each hollow ingress
+START_TIMEOUT_S = 60.0  # time for a child process to be ready
+START_TIMEOUT_PER_INGRESS_S = 0.2  # added to START_TIMEOUT_S for each hollow ingress
 HOLLOW_GROUP = "hollow"  # name of the agent's listener for all hollow ingresses
 
 
 class Launcher:
-    """A launcher of the parts of one run: stand-ins, child processes and real ingresses."""
+    """Starts the stand-ins, the child processes and the real ingresses of one run."""
 
-    def __init__(self, scenario: Scenario, project: Path, real_command: str, stack: AsyncExitStack) -> None:
+    def __init__(
+        self, scenario: Scenario, project: Path, real_command: str, exit_stack: AsyncExitStack
+    ) -> None:
         self._scenario = scenario
         self._project = project
         self._real_command = real_command
-        self._stack = stack
+        self._exit_stack = exit_stack
         self._log = structlog.get_logger().bind(scenario=scenario.name)
 
     async def start(self) -> Parts:
@@ -40,9 +42,9 @@
         backends_child, addresses = await self._start_backends()
         slots = make_slots(self._scenario, addresses)
         agent = Agent(Registry(slot.make_entry() for slot in slots))
-        self._stack.callback(agent.close)
+        self._exit_stack.callback(agent.close)
         counter = self._make_counter()
-        known_endpoints = agent.registry.encode_answer(None).decode()
+        known_endpoints = agent.registry.encode_response_body(None).decode()
         counter_address = await counter.listen()
         agent_address = await agent.listen(HOLLOW_GROUP)
         workers = await self._start_workers(agent_address, counter_address, known_endpoints)
@@ -66,12 +68,12 @@
         model = self._scenario.counter
         ingress_count = self._scenario.sizes.ingresses
         counter = CounterServer(model.parts, model.calls_per_s, model.queue, ingress_count)
-        self._stack.callback(counter.close)
+        self._exit_stack.callback(counter.close)
         return counter
 
     async def _spawn(self, name: str, module: str, *arguments: Path) -> Child:
         child = await Child.spawn(name, f"scale.experiment.{module}", *arguments)
-        self._stack.push_async_callback(child.close)
+        self._exit_stack.push_async_callback(child.close)
         return child
 
     async def _start_backends(self) -> tuple[Child | None, list[Address]]:
@@ -125,7 +127,7 @@
             )
             ingress = RealIngress(setup)
             real_ingresses[number] = ingress
-            self._stack.push_async_callback(ingress.close)
+            self._exit_stack.push_async_callback(ingress.close)
         await asyncio.gather(*(ingress.start() for ingress in real_ingresses.values()))
         return real_ingresses
 
--- a/scale/experiment/memory_probe.py
+++ b/scale/experiment/memory_probe.py
@@ -8,16 +8,19 @@
 
 import psutil
 
-from scale.experiment.hollow_process import use_project
+from scale.experiment.hollow_process import import_measured_package
 from scale.scenario import load_scenario
 from scale.standins.registry import Entry, Registry
 
-SAMPLED_GATEWAYS = 4  # number of instances over which the growth of memory is averaged
+SAMPLED_GATEWAYS = 4  # gateways over which the growth of memory is averaged
 CONTROL_BYTES = 300 * 1024  # memory of the watch and the counter's client with their buffers
 
 
 async def measure_hollow_bytes(scenario_path: Path) -> int:
-    """Return the bytes by which the process grows for each gateway with the scenario's endpoint list."""
+    """Return the bytes of one hollow ingress with the scenario's endpoint list.
+
+    These are the bytes by which the process grows for one more gateway with that list, and CONTROL_BYTES.
+    """
     from ingress.decisions import Gateway
     from ingress.settings_codec import decode_settings
     from scale.experiment.settings import ingress_settings, zone_name
@@ -26,7 +29,7 @@
     scenario = load_scenario(scenario_path)
     zones = scenario.sizes.zones
     entries = [Entry(f"b{n}", ("127.0.0.1", 1), zone_name(n % zones)) for n in range(scenario.sizes.backends)]
-    known_endpoints = decode_known_endpoints(Registry(entries).encode_answer(None).decode())
+    known_endpoints = decode_known_endpoints(Registry(entries).encode_response_body(None).decode())
     settings = decode_settings(ingress_settings(scenario, 0))
     process = psutil.Process()
     gateways = [Gateway(settings, 0)]
@@ -39,5 +42,5 @@
 
 
 if __name__ == "__main__":
-    use_project(Path(sys.argv[1]))
+    import_measured_package(Path(sys.argv[1]))
     print(asyncio.run(measure_hollow_bytes(Path(sys.argv[2]))))
--- a/scale/experiment/timeline.py
+++ b/scale/experiment/timeline.py
@@ -23,8 +23,8 @@
 from scale.scenario import AnyEvent, Change, Churn, DiscoveryDown, Restart, Scenario, ZoneLost
 from scale.standins.agent import AgentMode
 
-CLIENT_LEAVE_DELAY_S = 0.3  # time from SIGTERM until clients stop using the ingress
-WEIGHT_STEP = 0.01  # a configuration change switches a weight between 1 and 1 plus this
+CLIENT_LEAVE_DELAY_S = 0.3  # time from SIGTERM until clients send nothing more to the ingress
+WEIGHT_STEP = 0.01  # each configuration change switches a weight between 1 and 1 + WEIGHT_STEP
 
 
 @dataclass(slots=True)
@@ -47,8 +47,8 @@
 
     def record_event(self, kind: str, **values: float) -> None:
         """Add an event that takes place now to the record."""
-        at = round(time.monotonic() - self.started_at, 3)
-        self.events.append(ScenarioEvent(at=at, kind=kind, values=values))
+        elapsed_s = round(time.monotonic() - self.started_at, 3)
+        self.events.append(ScenarioEvent(at=elapsed_s, kind=kind, values=values))
 
     async def _run_event(self, event: AnyEvent, rng: random.Random) -> None:
         await asyncio.sleep(event.at_s)
@@ -75,7 +75,7 @@
         self.record_event("churn_done", backends=len(chosen_slots))
 
     async def _replace_backend(self, slot: Slot) -> None:
-        """List a new backend when the old one begins to drain; remove the old one once it has drained."""
+        """List a new backend when the old one begins to drain; remove the old one when it has drained."""
         draining = slot.make_entry("draining")
         removed = slot.make_entry("gone")
         slot.replace_backend()
@@ -139,7 +139,9 @@
         ingress = self.parts.real_ingresses[number]
         clients = self.parts.clients_child
         incarnation = next(
-            each for each in self.real_incarnations if each.ingress_number == number and each.ended_at is None
+            running
+            for running in self.real_incarnations
+            if running.ingress_number == number and running.ended_at is None
         )
         incarnation.ended_at = time.monotonic()
         ingress.terminate()
--- a/scale/hollow/setup.py
+++ b/scale/hollow/setup.py
@@ -8,10 +8,9 @@
 from scale.addresses import Address
 from scale.experiment.world import WorkerState
 
-SEED_STEP = 104_729  # difference between the seeds of two ingresses with consecutive numbers
-INCARNATION_SEED_STEP = (
-    15_485_863  # difference between the seeds of two consecutive incarnations of one ingress
-)
+# Differences between the seeds of consecutive ingresses, and of consecutive incarnations of one ingress.
+SEED_STEP = 104_729
+INCARNATION_SEED_STEP = 15_485_863
 
 
 @dataclass(frozen=True, slots=True)
@@ -19,11 +18,11 @@
     """The parameters of one incarnation of a hollow ingress."""
 
     worker_state: WorkerState
-    """What all hollow ingresses of the process share."""
+    """The state that all hollow ingresses of the process share."""
     number: int
     """The number of the ingress."""
-    earlier_incarnations: int
-    """How many incarnations of this ingress came before this one."""
+    earlier_incarnation_count: int
+    """The number of incarnations of this ingress before this one."""
     agent_address: Address
     """The address of the discovery agent."""
     counter_address: Address
@@ -35,4 +34,4 @@
     def seed(self) -> int:
         """The seed of all random draws of the incarnation."""
         seed = self.worker_state.scenario.seed
-        return seed + SEED_STEP * self.number + INCARNATION_SEED_STEP * self.earlier_incarnations
+        return seed + SEED_STEP * self.number + INCARNATION_SEED_STEP * self.earlier_incarnation_count
--- a/scale/real.py
+++ b/scale/real.py
@@ -21,8 +21,8 @@
 from scale.scenario import Scenario
 from scale.standins.clients import ping
 
-START_TIMEOUT_S = 20.0  # for a started process to answer PING
-STOP_SLACK_S = 1.5  # added to the longest deadline, between SIGTERM and SIGKILL
+START_TIMEOUT_S = 20.0  # time for a started process to answer PING
+STOP_SLACK_S = 1.5  # time beyond the longest deadline between SIGTERM and SIGKILL
 POLL_PERIOD_S = 0.05
 EXIT_COMMAND_NOT_FOUND = 127  # exit code of a shell that can't find the command
 
@@ -69,7 +69,7 @@
     """The parameters of one real ingress."""
 
     scenario: Scenario
-    number: int  # of the ingress in the fleet
+    number: int  # number of the ingress in the fleet
     project: Path  # the checkout whose program is started
     start_command: str  # shell command that starts the process
     agent_address: Address
@@ -187,7 +187,7 @@
         if self.process is None:
             return True
         cpu_s = self.measure_usage().cpu_s
-        longest_deadline_s = max(cls.deadline_s for cls in self.setup.scenario.classes)
+        longest_deadline_s = max(request_class.deadline_s for request_class in self.setup.scenario.classes)
         try:
             await asyncio.wait_for(self.process.wait(), longest_deadline_s + STOP_SLACK_S)
         except TimeoutError:
--- a/scale/slopes/runner.py
+++ b/scale/slopes/runner.py
@@ -1,4 +1,4 @@
-"""Runs sweeps: each pass at each point in its own child process, one after another."""
+"""Run sweeps: each pass at each point in its own child process, one at a time; each sweep gives a result."""
 
 from __future__ import annotations
 
@@ -28,13 +28,13 @@
 
 @dataclass
 class SweepRunner:
-    """Measures the points of sweeps with the version in `project`; equal points are measured once."""
+    """Measures the points of sweeps with the version in `project`; a pass runs only once for equal sizes."""
 
     project: Path
     cpu_budget_s: float
     counter: CounterModel = field(default_factory=CounterModel)
     note: str = ""
-    _measured: dict[tuple[Pass, Sizes], dict[str, float]] = field(default_factory=dict)
+    _measures_by_pass: dict[tuple[Pass, Sizes], dict[str, float]] = field(default_factory=dict)
 
     def run(self, sweep: Sweep, on_pass_done: Callable[[], None]) -> Result:
         """Measure all points of a sweep, and return the result; `on_pass_done` is called after each pass."""
@@ -58,9 +58,9 @@
         measures: dict[str, float] = {}
         for pass_ in sweep.passes:
             key = pass_, sizes
-            if key not in self._measured:
-                self._measured[key] = self._run_pass(pass_, sizes)
-            measures |= self._measured[key]
+            if key not in self._measures_by_pass:
+                self._measures_by_pass[key] = self._run_pass(pass_, sizes)
+            measures |= self._measures_by_pass[key]
             on_pass_done()
         return Point(sizes=sizes.model_dump(), measures=measures | _derive_measures(measures, sizes))
 
@@ -70,7 +70,7 @@
 
 
 def _derive_measures(measures: dict[str, float], sizes: Sizes) -> dict[str, float]:
-    """Return the measures that follow from those of several passes.
+    """Return the measures that are computed from the measures of several passes.
 
     The control bytes of one ingress are those of its counter calls and of the changes of the endpoint list,
     without headers.
@@ -84,7 +84,8 @@
 def run_job(job: Job, project: Path) -> Measurement:
     """Run one pass in a child process, and return its measurement.
 
-    MeasuringChildError is raised if it fails; it holds the last line that the child wrote to standard error.
+    Raise MeasuringChildError if the child exceeds its timeout, fails or prints no measurement.  The message
+    for a failure ends with the last line that the child wrote to standard error.
     """
     command = [sys.executable, "-P", "-m", "scale.slopes.measure"]
     timeout_s = max(MIN_TIMEOUT_S, TIMEOUT_BUDGETS * job.cpu_budget_s)
--- a/tests/decisions/test_admission.py
+++ b/tests/decisions/test_admission.py
@@ -1,4 +1,4 @@
-"""Admission by quota: by the slice, by the counter's totals, and without an overloaded counter."""
+"""Admission by quota: by the slice, by the counter's totals, and unsampled with an overloaded counter."""
 
 from __future__ import annotations
 
@@ -20,7 +20,7 @@
 )
 
 
-def test_slice_admits_its_part_of_the_burst_and_rejects_the_rest_at_once() -> None:
+def test_slice_admits_its_part_of_the_burst_and_rejects_the_rest() -> None:
     harness = GatewayHarness()
     assert deliver_requests(harness, 10) == 4  # burst 8 over two gateways
     rejection = harness.deliver_request()[-1]
@@ -52,20 +52,20 @@
     waiting_id = get_customer(harness).requests_awaiting_counter[0].id
     call = list_counter_calls(harness)[-1]
     assert call.add >= 1.0  # the units of the waiting request are added with the call
-    answer = harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, float(sent_count + 1)))
-    assert [s.id for s in find_sent_attempts(answer)] == [waiting_id]
+    actions = harness.deliver_event(0.001, CounterReply(call.name, Outcome.OK, float(sent_count + 1)))
+    assert [s.id for s in find_sent_attempts(actions)] == [waiting_id]
 
 
 def test_undersized_slice_asks_the_counter_and_its_total_decides() -> None:
-    for total, passes in ((1.0, True), (9.0, False)):  # units used of a burst of 8, this request's included
+    for total, is_sent in ((1.0, True), (9.0, False)):  # units used of a burst of 8, this request's included
         harness = GatewayHarness(LARGE_FLEET_SETTINGS)
         harness.gateway.counter.sampling.rate = 1.0
         harness.now = get_count_start_time(3)  # the customer's count has just begun
         assert not find_sent_attempts(harness.deliver_request(assigned_instances=100))
-        answer = harness.deliver_event(
+        actions = harness.deliver_event(
             0.001, CounterReply(list_counter_calls(harness)[-1].name, Outcome.OK, total, 0.001)
         )
-        assert bool(find_sent_attempts(answer)) is passes
+        assert bool(find_sent_attempts(actions)) is is_sent
 
 
 def test_customer_is_limited_to_its_slice_while_the_counter_fails() -> None:
@@ -92,46 +92,46 @@
 
 
 def test_unsampled_request_is_sent_if_that_pays_and_the_counter_is_up() -> None:
-    for cost, passes in ((0.5, True), (1.5, False)):
+    for cost, is_sent in ((0.5, True), (1.5, False)):
         harness = GatewayHarness(
             replace(LARGE_FLEET_SETTINGS, plans=(replace(BASIC_PLAN, over_quota_cost_share=cost),))
         )
         mark_counter_overloaded(harness)
-        assert bool(find_sent_attempts(harness.deliver_request(assigned_instances=100))) is passes
+        assert bool(find_sent_attempts(harness.deliver_request(assigned_instances=100))) is is_sent
         harness.now += 20.0  # a counter without a reply for 20 s is down, not overloaded
         assert not find_sent_attempts(harness.deliver_request(assigned_instances=100))
 
 
 def test_requests_that_come_before_the_slice_refills_are_not_admitted_unsampled() -> None:
-    """Customers that sent more than their quotas to 45 gateways caused nearly all attempts beyond quotas."""
+    """Without this rule, customers that overloaded 45 gateways caused nearly all attempts beyond quotas."""
     harness = GatewayHarness(
         replace(LARGE_FLEET_SETTINGS, plans=(replace(BASIC_PLAN, over_quota_cost_share=1.0),))
     )
     harness.gateway.counter.sampling.quota_available_probability["basic"] = 0.95
-    refill_time = (
-        100 / BASIC_PLAN.rate
-    )  # seconds in which the slice of one of 100 gateways refills by one unit
+    # Seconds in which the slice of one of 100 gateways refills by one unit.
+    refill_time = 100 / BASIC_PLAN.rate
 
-    def ask(after: float, customer: str) -> bool:
-        harness.now += after
+    def send_request(delay_s: float, customer: str) -> bool:
+        harness.now += delay_s
         mark_counter_overloaded(harness)
-        sent = find_sent_attempts(harness.deliver_request(assigned_instances=100, customer=customer))
-        for send in sent:
-            harness.end_attempt(send)
-        return bool(sent)
+        attempts = find_sent_attempts(harness.deliver_request(assigned_instances=100, customer=customer))
+        for attempt in attempts:
+            harness.end_attempt(attempt)
+        return bool(attempts)
 
-    assert ask(0.0, "excessive")  # a first request is admitted: most customers keep to their quotas
+    assert send_request(0.0, "excessive")  # a first request is admitted: most customers keep to their quotas
     # No more requests are sent than the slice refills units.
-    assert sum(ask(refill_time / 5, "excessive") for _ in range(20)) <= 4
-    assert ask(0.0, "other")
-    assert ask(refill_time * 1.01, "excessive")  # after a pause the customer is admitted again
+    assert sum(send_request(refill_time / 5, "excessive") for _ in range(20)) <= 4
+    assert send_request(0.0, "other")
+    assert send_request(refill_time * 1.01, "excessive")  # after a pause the customer is admitted again
 
 
 @pytest.mark.parametrize(
-    ("is_client_retry", "level", "passes"), [(False, 0.0, True), (True, 0.0, False), (True, 0.5, True)]
+    ("is_client_retry", "slice_level", "is_admitted"),
+    [(False, 0.0, True), (True, 0.0, False), (True, 0.5, True)],
 )
 def test_client_retry_on_a_low_slice_is_not_admitted_unsampled(
-    is_client_retry: bool, level: float, passes: bool
+    is_client_retry: bool, slice_level: float, is_admitted: bool
 ) -> None:
     harness = GatewayHarness(LARGE_FLEET_SETTINGS)
     harness.gateway.counter.sampling.rate = 0.0
@@ -139,7 +139,7 @@
     harness.now += 2.0 * 100 / BASIC_PLAN.rate + 1.0  # the slice has refilled since the last request
     harness.gateway.counter.last_success_at = harness.now
     customer = get_customer(harness)
-    customer.slice.level = level
+    customer.slice.level = slice_level
     customer.slice.updated_at = harness.now
     assert (
         bool(
@@ -147,7 +147,7 @@
                 harness.deliver_request(assigned_instances=100, units=2.0, is_client_retry=is_client_retry)
             )
         )
-        is passes
+        is is_admitted
     )
     # The slice has not refilled since the last request.
     assert not find_sent_attempts(
@@ -164,21 +164,23 @@
 
 
 @pytest.mark.parametrize(
-    ("gateways", "assigned_instances", "first"),
+    ("gateway_count", "assigned_instances", "first_instance"),
     [(1, 1, 0), (1000, 1, 999), (1000, 1000, 0), (1000, 700, 900)],
 )
 def test_total_decides_for_any_number_of_gateways_and_for_a_range_that_wraps_around(
-    gateways: int, assigned_instances: int, first: int
+    gateway_count: int, assigned_instances: int, first_instance: int
 ) -> None:
-    harness = GatewayHarness(replace(COUNTER_SETTINGS, instance_count=gateways))
+    harness = GatewayHarness(replace(COUNTER_SETTINGS, instance_count=gateway_count))
     harness.gateway.counter.sampling.rate = 1.0
     # The request takes more than half of any slice, so the counter is asked.
     assert not find_sent_attempts(
-        harness.deliver_request(assigned_instances=assigned_instances, first_instance=first, units=6.0)
+        harness.deliver_request(
+            assigned_instances=assigned_instances, first_instance=first_instance, units=6.0
+        )
     )
     peer_indices = get_customer(harness).peer_indices(harness.gateway.settings)
     assert len(set(peer_indices) | {0}) in (assigned_instances, assigned_instances + 1)
-    assert all(0 <= n < gateways for n in peer_indices)
+    assert all(0 <= n < gateway_count for n in peer_indices)
     assert find_sent_attempts(
         harness.deliver_event(
             0.001, CounterReply(list_counter_calls(harness)[-1].name, Outcome.OK, 1.0, 0.001)
--- a/tests/decisions/test_retry_policy.py
+++ b/tests/decisions/test_retry_policy.py
@@ -1,4 +1,4 @@
-"""The retry budget, and the time-outs of attempts."""
+"""The retry budget, and the timeouts of attempts."""
 
 from __future__ import annotations
 
@@ -9,7 +9,7 @@
 
 from ingress.decisions.retry_policy import MAX_SAVED_RETRIES, RETRIES_PER_REQUEST
 from ingress.interface import Outcome, Settings
-from tests.support.balancer import UNLIMITED_SETTINGS, count_requests_by_backend
+from tests.support.balancer import UNLIMITED_SETTINGS, count_attempts_by_backend
 from tests.support.gateway import NOT_IDEMPOTENT_CLASS, GatewayHarness, find_sent_attempts
 
 
@@ -39,7 +39,7 @@
 
 
 def test_attempt_times_out_early_if_a_retry_may_follow() -> None:
-    # The time-out is 8 mean answer times; before the first answer, the mean is assumed to be 1/8 of the
+    # The timeout is 8 mean answer times; before the first answer, the mean is assumed to be 1/8 of the
     # latency objective.
     assert first_attempt_timeout(UNLIMITED_SETTINGS, 5.0) == pytest.approx(1.0)
 
@@ -63,7 +63,7 @@
 def test_attempt_far_slower_than_the_mean_is_retried_on_another_backend() -> None:
     for class_name, may_retry in (("read", True), ("order", True), ("pay", False)):
         harness = GatewayHarness(UNLIMITED_SETTINGS)
-        count_requests_by_backend(harness, 0.05, 60)
+        count_attempts_by_backend(harness, 0.05, 60)
         harness.gateway.retry_policy.budget.level = 5.0
         [lost] = find_sent_attempts(harness.deliver_request(request_class=class_name))
         assert (lost.timeout < 1.1) is may_retry  # a request that is not idempotent gets no other attempt
@@ -72,7 +72,7 @@
 
 
 @pytest.mark.parametrize(
-    ("outcome", "again"),
+    ("outcome", "is_retried"),
     [
         (Outcome.REJECTED, True),
         (Outcome.CONNECT_FAILED, True),
@@ -80,10 +80,10 @@
         (Outcome.RESET, False),
     ],
 )
-def test_attempt_that_was_not_executed_is_retried_without_budget(outcome: Outcome, again: bool) -> None:
+def test_attempt_that_was_not_executed_is_retried_without_budget(outcome: Outcome, is_retried: bool) -> None:
     harness = GatewayHarness(UNLIMITED_SETTINGS)
-    count_requests_by_backend(harness, 0.05, 60)
+    count_attempts_by_backend(harness, 0.05, 60)
     harness.gateway.retry_policy.budget.level = 0.5
     [sent] = find_sent_attempts(harness.deliver_request())
-    assert bool(find_sent_attempts(harness.end_attempt(sent, outcome, 0.001))) is again
+    assert bool(find_sent_attempts(harness.end_attempt(sent, outcome, 0.001))) is is_retried
     assert harness.gateway.retry_policy.budget.level < 1.0
--- a/tests/decisions/test_subset.py
+++ b/tests/decisions/test_subset.py
@@ -13,46 +13,48 @@
 from tests.support.gateway import SETTINGS, GatewayHarness
 
 
-def compute_subsets(gateways: int, names: list[str]) -> list[list[str]]:
+def compute_subsets(gateway_count: int, names: list[str]) -> list[list[str]]:
     """Return the subset of each gateway."""
     subsets = []
-    for number in range(gateways):
-        subsetting = Subsetting(replace(SETTINGS, instance_count=gateways, instance_index=number))
+    for gateway_index in range(gateway_count):
+        subsetting = Subsetting(replace(SETTINGS, instance_count=gateway_count, instance_index=gateway_index))
         subsetting.update([], names)
         subsets.append(subsetting.compute_subset())
     return subsets
 
 
 @pytest.mark.parametrize(
-    ("gateways", "count"),
+    ("gateway_count", "backend_count"),
     [(1, 3), (2, 13), (3, 17), (40, 60), (40, 13), (200, 30), (30, 200), (7, 400), (60, 60)],
 )
-def test_counted_gateways_match_the_subsets_of_all_gateways(gateways: int, count: int) -> None:
-    names = [f"10.0.0.{n}:9000" for n in range(count)]
-    gateway_counts = dict.fromkeys(names, 0)
-    for subset in compute_subsets(gateways, names):
+def test_counted_gateways_match_the_subsets_of_all_gateways(gateway_count: int, backend_count: int) -> None:
+    names = [f"10.0.0.{n}:9000" for n in range(backend_count)]
+    expected_counts = dict.fromkeys(names, 0)
+    for subset in compute_subsets(gateway_count, names):
         assert len(subset) == len(set(subset))
         for name in subset:
-            gateway_counts[name] += 1
-    subsetting = Subsetting(replace(SETTINGS, instance_count=gateways))
+            expected_counts[name] += 1
+    subsetting = Subsetting(replace(SETTINGS, instance_count=gateway_count))
     subsetting.update([], names)
-    assert {name: subsetting.count_gateways_preferring(name) for name in names} == gateway_counts
+    assert {name: subsetting.count_gateways_preferring(name) for name in names} == expected_counts
 
 
-@pytest.mark.parametrize(("gateways", "count"), [(3, 17), (3, 200), (40, 2000)])
-def test_each_backend_is_in_the_subset_of_some_gateway(gateways: int, count: int) -> None:
-    names = [f"b{n}" for n in range(count)]
-    subsets = compute_subsets(gateways, names)
+@pytest.mark.parametrize(("gateway_count", "backend_count"), [(3, 17), (3, 200), (40, 2000)])
+def test_each_backend_is_in_the_subset_of_some_gateway(gateway_count: int, backend_count: int) -> None:
+    names = [f"b{n}" for n in range(backend_count)]
+    subsets = compute_subsets(gateway_count, names)
     assert set().union(*subsets) == set(names)
-    assert max(map(len, subsets)) <= max(SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * count / gateways + 1)
+    assert max(map(len, subsets)) <= max(
+        SUBSET_SIZE, MIN_GATEWAYS_PER_BACKEND * backend_count / gateway_count + 1
+    )
 
 
 def test_subsets_cover_all_backends_evenly_and_change_little_with_the_list() -> None:
     fleet = tuple(Backend(f"10.0.0.{n}:9000", zone="ab"[n % 2]) for n in range(60))
     gateway_counts = dict.fromkeys((b.id for b in fleet), 0)
     added_count = 0
-    for number in range(100):
-        gateway = Gateway(replace(SETTINGS, instance_count=100, instance_index=number), 1)
+    for gateway_index in range(100):
+        gateway = Gateway(replace(SETTINGS, instance_count=100, instance_index=gateway_index), 1)
         gateway.handle(1.0, EndpointUpdate(EndpointUpdateKind.RESTORED, fleet))
         subset = [b.entry.id for b in gateway.balancer.subset]
         assert len(subset) == 12
@@ -73,9 +75,9 @@
     fleet = tuple(Backend(f"10.0.0.{n}:9000") for n in range(60))
     gateway_counts = dict.fromkeys((b.id for b in fleet), 0)
     reported_counts: list[dict[str, int]] = []
-    for number in range(40):
+    for gateway_index in range(40):
         balancer = GatewayHarness(
-            replace(SETTINGS, instance_count=40, instance_index=number), fleet
+            replace(SETTINGS, instance_count=40, instance_index=gateway_index), fleet
         ).gateway.balancer
         reported_counts.append(
             {
--- a/tests/process/test_ingress.py
+++ b/tests/process/test_ingress.py
@@ -1,4 +1,4 @@
-"""The whole ingress on sockets: startup, forwarding, and exceptions in the decision module."""
+"""The complete ingress on sockets: startup, forwarding, and exceptions in the decision module."""
 
 from __future__ import annotations
 
@@ -19,15 +19,15 @@
     make_command,
     make_config,
     make_endpoint_entry,
+    make_scripted_backend,
     read_command,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 
 
 def test_ingress_pauses_at_startup_before_it_listens(monkeypatch: pytest.MonkeyPatch) -> None:
-    """A process that listened at once left requests unread for 1.2 s while its startup was throttled."""
+    """Without the pause, a throttled process left requests unread for as long as its start took: 1.2 s."""
 
     async def body() -> None:
         monkeypatch.setattr(ingress_module, "STARTUP_PAUSE_S", 3600.0)
@@ -70,7 +70,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend() as peer,
+            make_scripted_backend() as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
 
--- a/tests/process/test_reload.py
+++ b/tests/process/test_reload.py
@@ -11,8 +11,8 @@
 import pytest
 
 from ingress.process.ingress import Ingress
-from ingress.process.reload import apply_reload, restart_required_fields
-from tests.support.counter import scripted_counter
+from ingress.process.reload import apply_reload, find_fields_requiring_restart
+from tests.support.counter import make_scripted_counter
 from tests.support.discovery import ScriptedAgent, encode_endpoint_list
 from tests.support.ingress import running_ingress
 from tests.support.peers import (
@@ -24,8 +24,8 @@
     make_config,
     make_config_text,
     make_endpoint_entry,
+    make_scripted_backend,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 from tests.support.process import (
@@ -45,8 +45,8 @@
 
     async def body() -> None:
         async with (
-            scripted_backend(encode_value_reply(b"one")) as one,
-            scripted_backend(encode_value_reply(b"two")) as two,
+            make_scripted_backend(encode_value_reply(b"one")) as one,
+            make_scripted_backend(encode_value_reply(b"two")) as two,
         ):
             first = ScriptedAgent(encode_endpoint_list(40, True, make_endpoint_entry(one.address)))
             # The new agent numbers its versions differently, and closes the connection of its first call.
@@ -63,8 +63,8 @@
                 caller = await RespClient.connect(address)
                 await wait_until(lambda: len(first.requested_targets) == 2)
                 assert await caller.send_and_read_reply(make_command()) == b"one"
-                for bad, key in (("{", "EDGE_CONFIG"), (make_config_text(seed="xyz"), "seed")):
-                    path.write_text(bad, encoding="utf-8")
+                for invalid_text, key in (("{", "EDGE_CONFIG"), (make_config_text(seed="xyz"), "seed")):
+                    path.write_text(invalid_text, encoding="utf-8")
                     process.send_signal(signal.SIGHUP)
                     await read_log_line(process, "configuration rejected", key)
                 path.unlink()
@@ -95,7 +95,7 @@
 
 def test_reload_moves_the_counter_and_closes_the_old_connections(tmp_path: Path) -> None:
     async def body() -> None:
-        async with scripted_counter(b"ok 1\r\n") as old, scripted_counter(b"ok 1\r\n") as new:
+        async with make_scripted_counter(b"ok 1\r\n") as old, make_scripted_counter(b"ok 1\r\n") as new:
             agents = [ScriptedAgent(encode_endpoint_list(1, True)) for _ in range(3)]
             async with agents[0].server, agents[1].server, agents[2].server:
 
@@ -127,7 +127,7 @@
                 assert agents[2].server.connection_count == 1
                 ingress.counter.increment(7, 1.0, 60.0)
                 await wait_until(lambda: new.received_commands)
-                # One watch, and the tasks of the scripted peers for their open connections.
+                # Only one watch runs, and the scripted peers have no tasks left for closed connections.
                 assert len(asyncio.all_tasks()) <= task_count_before
                 stop.set()
                 await task
@@ -135,7 +135,7 @@
     run_async_test(body())
 
 
-def test_reload_before_the_watch_starts_fetches_the_full_list_from_the_new_agent() -> None:
+def test_reload_before_the_watch_starts_fetches_the_complete_list_from_the_new_agent() -> None:
     """The new agent may number versions differently, so changes since a known version may omit backends."""
 
     async def body() -> None:
@@ -183,16 +183,16 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("number", [signal.SIGHUP, signal.SIGTERM])
+@pytest.mark.parametrize("signal_number", [signal.SIGHUP, signal.SIGTERM])
 def test_signal_during_startup_stays_pending_until_its_handler_is_set(
-    number: signal.Signals, tmp_path: Path
+    signal_number: signal.Signals, tmp_path: Path
 ) -> None:
     """The signal arrives while the program imports its modules; unblocked, it would kill the process."""
     path, stub = tmp_path / CONFIG_FILE_NAME, tmp_path / "uvloop.py"
     text = make_config_text(listen=f"127.0.0.1:{find_free_port()}")
     # This module is found in place of uvloop; it signals the process and then imports the real uvloop.
     stub.write_text(
-        f"import os, sys\nos.kill(os.getpid(), {int(number)})\nsys.path.remove({str(tmp_path)!r})\n"
+        f"import os, sys\nos.kill(os.getpid(), {int(signal_number)})\nsys.path.remove({str(tmp_path)!r})\n"
         "del sys.modules['uvloop']\nimport uvloop\n",
         encoding="utf-8",
     )
@@ -200,7 +200,7 @@
     async def body() -> None:
         async with running_process(path, text, module_path=str(tmp_path)) as process:
             assert process.stderr is not None
-            if number is signal.SIGHUP:
+            if signal_number is signal.SIGHUP:
                 assert "discovery" in await read_log_line(process, "configuration reloaded")
                 await read_log_line(process, "listening")
                 process.send_signal(signal.SIGTERM)
@@ -214,12 +214,12 @@
     caplog: pytest.LogCaptureFixture,
 ) -> None:
     async def body() -> None:
-        started = make_config(make_endpoint_entry(("127.0.0.1", 1)))
-        async with running_ingress(started) as (ingress, _):
+        config = make_config(make_endpoint_entry(("127.0.0.1", 1)))
+        async with running_ingress(config) as (ingress, _):
             assert ingress.gateway.balancer.ready_backends.keys() == {"s1"}
             assert not ingress.config.known.backends
             assert not ingress.config.known.addresses
-            ingress.reload(started)
+            ingress.reload(config)
 
     run_async_test(body())
     assert "restart required" not in caplog.text  # a reload does not compare the endpoint list
@@ -228,8 +228,8 @@
 def test_only_changes_that_a_reload_does_not_apply_require_a_restart() -> None:
     current = make_config(make_endpoint_entry(("127.0.0.1", 1)))
     new = make_config(discovery="127.0.0.1:9", seed="1", name="n1", listen="127.0.0.1:7")
-    assert restart_required_fields(current, current) == []
-    assert restart_required_fields(current, new) == ["name", "listen"]
+    assert find_fields_requiring_restart(current, current) == []
+    assert find_fields_requiring_restart(current, new) == ["name", "listen"]
     assert apply_reload(current, new) == replace(current, discovery=("127.0.0.1", 9))
 
 
--- a/tests/process/test_request_service.py
+++ b/tests/process/test_request_service.py
@@ -15,8 +15,8 @@
     make_command,
     make_config,
     make_endpoint_entry,
+    make_scripted_backend,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 
@@ -24,7 +24,7 @@
 def test_disconnect_cancels_the_request() -> None:
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             gateway = install_scripted_gateway(ingress, send_to_s1)
@@ -38,14 +38,14 @@
     run_async_test(body())
 
 
-@pytest.mark.parametrize("sent", [True, False])
-def test_final_answer_is_enforced_when_module_and_backend_are_silent(sent: bool) -> None:
+@pytest.mark.parametrize("is_attempt_sent", [True, False])
+def test_final_answer_is_enforced_when_module_and_backend_are_silent(is_attempt_sent: bool) -> None:
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
-            gateway = install_scripted_gateway(ingress, send_to_s1 if sent else None)
+            gateway = install_scripted_gateway(ingress, send_to_s1 if is_attempt_sent else None)
             caller = await RespClient.connect(address)
             clock = asyncio.get_running_loop().time
             start = clock()
@@ -53,7 +53,7 @@
             assert clock() - start > 0.2
             assert len(gateway.get_events_of_type(api.RequestCancelled)) == 1
             await wait_until(lambda: not ingress.attempt_dispatcher.in_flight and not ingress.requests)
-            assert len(gateway.get_events_of_type(api.AttemptEnded)) == sent
+            assert len(gateway.get_events_of_type(api.AttemptEnded)) == is_attempt_sent
             assert await caller.send_and_read_reply(encode_resp_array(b"PING")) == b"PONG"
 
     run_async_test(body())
@@ -64,7 +64,7 @@
 
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             caller = await RespClient.connect(address)
@@ -101,7 +101,7 @@
 def test_requests_in_flight_are_bounded() -> None:
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             ingress.requests.max_requests = 1
@@ -117,7 +117,7 @@
 def test_client_request_id_in_flight_is_not_accepted_twice() -> None:
     async def body() -> None:
         async with (
-            scripted_backend(b"") as peer,
+            make_scripted_backend(b"") as peer,
             running_ingress(make_config(make_endpoint_entry(peer.address))) as (ingress, address),
         ):
             install_scripted_gateway(ingress, send_to_s1)
@@ -126,9 +126,8 @@
             await wait_until(lambda: peer.received_commands)
             assert "open request" in str(await two.send_and_read_reply(make_command("same")))
             assert str(await one.read_reply()) == "ERR failed"
-            two.writer.write(
-                make_command("same", wait_ms=300)
-            )  # allowed again, since the first request is answered
+            # The id is allowed again, since the first request is answered.
+            two.writer.write(make_command("same", wait_ms=300))
             assert str(await two.read_reply()) == "ERR failed"
             assert len(peer.received_commands) == 2
             assert not ingress.requests.unanswered_client_request_ids
--- a/tests/upstream/test_idle.py
+++ b/tests/upstream/test_idle.py
@@ -13,9 +13,9 @@
     ScriptedServer,
     Writer,
     encode_value_reply,
+    make_scripted_backend,
     read_command,
     run_async_test,
-    scripted_backend,
     wait_until,
 )
 from tests.support.pool import PoolUnderTest
@@ -23,7 +23,7 @@
 
 def test_most_recently_used_connection_is_reused() -> None:
     async def body() -> None:
-        async with scripted_backend() as peer:
+        async with make_scripted_backend() as peer:
             pool = PoolUnderTest(peer.address)
             pool.start_attempt()
             pool.start_attempt()
@@ -40,11 +40,11 @@
 
 
 def test_connection_closed_by_the_backend_is_not_reused() -> None:
-    async def script(number: int, reader: Reader, writer: Writer) -> None:
+    async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
         while True:
             await read_command(reader)
-            writer.write(encode_value_reply(b"%d" % number))
-            if number == 0:
+            writer.write(encode_value_reply(b"%d" % connection_index))
+            if connection_index == 0:
                 return
 
     async def body() -> None:
@@ -63,7 +63,7 @@
     monkeypatch.setattr(pool_module, "SWEEP_INTERVAL_S", 0.01)
 
     async def body() -> None:
-        async with scripted_backend() as peer:
+        async with make_scripted_backend() as peer:
             pool = PoolUnderTest(peer.address, idle_timeout_s=15.0)
             pool.start_attempt()
             await pool.wait_for_result()
@@ -87,12 +87,12 @@
 def test_idle_timeout_is_shortened_after_an_idle_connection_broke() -> None:
     """A connection that the backend dropped while it was idle resets the attempt that is written to it."""
 
-    async def script(number: int, reader: Reader, writer: Writer) -> None:
-        for count in range(4):
+    async def script(connection_index: int, reader: Reader, writer: Writer) -> None:
+        for command_index in range(4):
             await read_command(reader)
-            if number == 0 and count == 1:
+            if connection_index == 0 and command_index == 1:
                 return
-            writer.write(encode_value_reply(b"%d" % number))
+            writer.write(encode_value_reply(b"%d" % connection_index))
 
     async def body() -> None:
         async with ScriptedServer(script) as peer:
@@ -118,7 +118,7 @@
     """Duplicate replies arrived up to 4.03 ms after the reply."""
 
     async def body() -> None:
-        async with scripted_backend() as peer:
+        async with make_scripted_backend() as peer:
             pool = PoolUnderTest(peer.address)
             now = 100.0
             pool.pool.clock = lambda: now
